--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -413,11 +413,25 @@
   if (!ending_) After(base_.get(), kPollEvery, [this] { Poll(); });
 }
 
+// Members of the object and of its list are what operators' scripts read.
+bool HasTheFormOfAView(const json& view) {
+  const auto has_just = [](const json& object, std::set<std::string> names) {
+    std::set<std::string> found;
+    for (const auto& [name, value] : object.items()) found.insert(name);
+    return found == names;
+  };
+  if (!has_just(view, {"self", "life", "view", "members"})) return false;
+  return std::all_of(view["members"].begin(), view["members"].end(), [&](const json& member) {
+    return has_just(member, {"name", "address", "state", "life", "since_ms", "word"});
+  });
+}
+
 void Rig::Take(int i, int, const std::string& body) {
   Gatekeeper& g = at(i);
   if (!g.process || g.stopped) return;
   const json view = json::parse(body, nullptr, false);
   if (view.is_discarded()) return broken_.push_back("the door gave no JSON");
+  if (!HasTheFormOfAView(view)) return broken_.push_back("GET /v1/fleet has another form: " + body);
   const std::string hash = view["view"];
   if (!g.hash.empty() && hash != g.hash) {
     g.changes.push_back(Clock::now());
