--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -1,6 +1,6 @@
-// Shows the product run: gatekeepers among stand-ins of nodes, counter and discovery on loopback, steady
-// traffic, one gatekeeper killed and started again, one cut off and back. A line a second; exit 0 only if
-// every request got its one answer and the gatekeepers' views are one at the end.
+// Shows the product run: gateways among stand-ins of nodes, counter and discovery on loopback, steady
+// traffic, one gateway killed and started again, one cut off and back. A line a second; exit 0 only if
+// every request got its one answer and the gateways' views are one at the end.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -39,8 +39,8 @@
 }
 
 int Play(bool keep) {
-  Rig rig({.gatekeepers = 4, .nodes = 6});
-  // The front knows of a dead gatekeeper and of one that is cut off only after a while.
+  Rig rig({.gateways = 4, .nodes = 6});
+  // The front knows of a dead gateway and of one that is cut off only after a while.
   std::set<int> out;
   rig.sends_to = [&](int i) { return rig.alive(i) && !out.contains(i); };
   std::cout << "four gatekeepers, six nodes, a counter and a discovery on loopback, 200 requests a second"
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,4 +1,4 @@
-// Measures the view of the fleet: real gatekeepers under faults drawn from a seed, then many in modelled
+// Measures the membership view: real gateways under faults drawn from a seed, then many in modelled
 // time, then what the view costs beside the same traffic without it. Exit 0 only if every promise of
 // src/membership/fleet.h held; the last line is one JSON object.
 #include <signal.h>
@@ -28,7 +28,7 @@
   int faults_s = 120;
   bool is_short = false;
   std::uint64_t seed = 1;
-  double rate = 140;  // requests a second to each gatekeeper, in the part that measures CPU
+  double rate = 140;  // requests a second to each gateway, in the part that measures CPU
   int cost_s = 30;
   std::string write, play;  // a file of faults
 };
@@ -57,7 +57,7 @@
     Modelled();
     Cost();
     if (!settings_.is_short) {
-      for (const char* without : fleet_rig::kDefences) defences_ += fleet_rig::SeesRed(without);
+      for (const char* disabled : fleet_rig::kDefences) defences_ += fleet_rig::SeesRed(disabled);
     }
     return Verdict();
   }
@@ -89,7 +89,7 @@
 
   // Half of the time without loss, where detection is promised, half with one datagram in ten lost.
   void Processes(double loss) {
-    Rig rig({.gatekeepers = settings_.processes,
+    Rig rig({.gateways = settings_.processes,
              .period = milliseconds(400),
              .suspicion = milliseconds(1'200),
              .datagrams_per_second = 50,
@@ -173,9 +173,9 @@
       rig.StartAll();
       settle("their start");
     }
-    rig.ReadFigures();
+    rig.ReadMetrics();
     double sent = 0;
-    for (const int i : rig.Living()) sent += rig.Figure(i, "svc_fleet_datagrams_sent");
+    for (const int i : rig.Living()) sent += rig.Metric(i, "svc_fleet_datagrams_sent");
     std::cout << "datagrams " << sent << ", longer than 256 bytes " << rig.datagrams().too_long << std::endl;
     if (rig.datagrams().too_long > 0) Broken("a datagram was longer than 256 bytes");
     views_equal_ = views_equal_ && rig.AllAgree();
@@ -225,7 +225,7 @@
   // The same traffic to two groups at the same time.
   void Cost() {
     constexpr int kGroup = 3;
-    fleet_rig::Options options{.gatekeepers = kGroup,
+    fleet_rig::Options options{.gateways = kGroup,
                                .period = milliseconds(1'000),
                                .suspicion = milliseconds(3'000),
                                .datagrams_per_second = 20,
--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -1,9 +1,9 @@
-// Measures the store of keys: three real gatekeepers among stand-ins on loopback, clients that send changes
-// again at once and through random gatekeepers, datagrams lost, one gatekeeper killed and restarted, one node
-// killed. Then the cost: the same traffic without repeats to gatekeepers with the store and without it.
+// Measures the store of keys: three real gateways among stand-ins on loopback, clients that send changes
+// again at once and through random gateways, datagrams lost, one gateway killed and restarted, one node
+// killed. Then the cost: the same traffic without repeats to gateways with the store and without it.
 //
 // Promises, each of which ends it with 1 where broken: no change is made twice; no two answers to one change
-// differ; no request that a living gatekeeper took is left without answer; memory stays in its bound; with
+// differ; no request that a living gateway took is left without answer; memory stays in its bound; with
 // every process up 99 in 100 changes end with a definite answer; the store costs 5 in 100 of CPU at most.
 #include <signal.h>
 #include <unistd.h>
@@ -29,7 +29,7 @@
 using nlohmann::json;
 using std::chrono::seconds;
 
-constexpr int kGatekeepers = 3, kPods = 3, kNodesEach = 3, kFirms = 300;
+constexpr int kGateways = 3, kPods = 3, kNodesEach = 3, kFirms = 300;
 constexpr milliseconds kPatience{4'000};
 constexpr milliseconds kLate{1'500};  // after a client's patience: by then an answer counts as never come
 
@@ -37,19 +37,19 @@
   int changes = 20'000;
   bool is_short = false, skip_cost = false;
   std::uint64_t seed = 1;
-  std::string without;
+  std::string disabled;
   double rate = 150;       // changes a second
   int cost_s = 40;         // of the second part
   double cost_rate = 300;  // requests a second to each of the two groups
 };
 
-// Three gatekeepers as processes.
+// Three gateways as processes.
 class Group {
  public:
   Group(event_base* base, const std::filesystem::path& folder, const std::string& name, bool with_store,
         const json& known, const std::string& discovery, const std::string& counter, std::uint64_t seed)
-      : folder_(folder), name_(name), with_store_(with_store), datagrams(base, kGatekeepers, seed) {
-    for (int i = 0; i < kGatekeepers; ++i) {
+      : folder_(folder), name_(name), with_store_(with_store), datagrams(base, kGateways, seed) {
+    for (int i = 0; i < kGateways; ++i) {
       ports_.push_back(FreePort());
       processes_.push_back(nullptr);
       json settings = {
@@ -66,7 +66,7 @@
           {"Zones", {"hall-a", "hall-b", "hall-c"}},
           {"MyZone", std::string("hall-") + static_cast<char>('a' + i)},
           {"Rank", i},
-          {"GroupSize", kGatekeepers},
+          {"GroupSize", kGateways},
           {"Limits",
            {{"Cancelling", true},
             {"MostTries", 4},
@@ -77,7 +77,7 @@
             {"ConnIdle", 30'000'000}}},
           {"Safety", {{"DrainGrace", 250'000}}}};
       const json config = {{"name", name + std::to_string(i)},
-                           {"listen", Place(ports_.back())},
+                           {"listen", LoopbackAddress(ports_.back())},
                            {"discovery", discovery},
                            {"counter", counter},
                            {"seed", std::to_string(seed + static_cast<std::uint64_t>(i))},
@@ -90,12 +90,12 @@
     std::ofstream(folder_ / (name_ + ".conf"))
         << "idempotency {\n enabled = true\n keep = 40s\n memory = 8mb\n datagrams_per_second = 2000\n"
            " customer_share = 0.25\n}\n";
-    for (int i = 0; i < kGatekeepers; ++i) Start(i);
+    for (int i = 0; i < kGateways; ++i) Start(i);
   }
 
   void Start(int rank) {
     Process::Plan plan;
-    plan.program = GATEKEEPER;
+    plan.program = GATEWAY_PROGRAM;
     plan.variables = {"ROUTER_CONFIG=" + Path(rank, ".json")};
     if (with_store_) plan.arguments = {"--operator", (folder_ / (name_ + ".conf")).string()};
     plan.log = Path(rank, ".log");
@@ -129,9 +129,9 @@
     for (const auto& process : processes_) rss_mb = std::max(rss_mb, process ? process->PeakMb() : 0);
   }
   // A figure of the log's lines on keys: the last of each life, summed or the largest.
-  double Figure(const std::string& figure, bool largest = false) const {
+  double Metric(const std::string& figure, bool largest = false) const {
     double out = 0;
-    for (int i = 0; i < kGatekeepers; ++i) {
+    for (int i = 0; i < kGateways; ++i) {
       std::ifstream file(Path(i, ".log"));
       double last = 0;
       const auto close = [&] { out = largest ? std::max(out, last) : out + last, last = 0; };
@@ -187,7 +187,7 @@
 
   int Main() {
     Repeats();
-    if (options_.without.empty() && !options_.skip_cost) Cost();
+    if (options_.disabled.empty() && !options_.skip_cost) Cost();
     return Verdict();
   }
 
@@ -214,10 +214,10 @@
         }
       });
     };
-    for (int i = 0; i < kGatekeepers; ++i) ping(i);
+    for (int i = 0; i < kGateways; ++i) ping(i);
     const auto limit = Clock::now() + seconds(20);
-    Loop([&] { return ready.size() == kGatekeepers || Clock::now() > limit; });
-    if (ready.size() != kGatekeepers) throw std::runtime_error("the gatekeepers were not ready within 20 s");
+    Loop([&] { return ready.size() == kGateways || Clock::now() > limit; });
+    if (ready.size() != kGateways) throw std::runtime_error("the gatekeepers were not ready within 20 s");
     (void)group;
   }
 
@@ -234,12 +234,12 @@
     Discovery discovery(base_.get());
     Counter counter(base_.get());
     discovery.Tell(nodes.Listed(kNodesEach));
-    const bool with_store = options_.without != "store";
-    Group group(base_.get(), folder_, "on", with_store, nodes.Listed(kNodesEach), discovery.place(),
-                counter.place(), options_.seed);
+    const bool with_store = options_.disabled != "store";
+    Group group(base_.get(), folder_, "on", with_store, nodes.Listed(kNodesEach), discovery.address(),
+                counter.address(), options_.seed);
     group.datagrams.loss = 0.2;
     group_ = &group;
-    Clients clients(base_.get(), kGatekeepers, [&](int rank) { return group.port(rank); });
+    Clients clients(base_.get(), kGateways, [&](int rank) { return group.port(rank); });
     clients_ = &clients;
     WaitReady(group, clients);
 
@@ -298,10 +298,10 @@
     clean_stop_ = group.Stop();
     rss_mb_ = group.rss_mb;
     for (const char* name : {"started", "joined", "replayed", "fetched", "resumed", "unknown_told"}) {
-      figures_[name] = group.Figure(name);
+      metrics_[name] = group.Metric(name);
     }
-    store_max_ = group.Figure("bytes_max", true);
-    store_bound_ = group.Figure("bytes_bound", true);
+    store_max_ = group.Metric("bytes_max", true);
+    store_bound_ = group.Metric("bytes_bound", true);
     clients_ = nullptr;
     group_ = nullptr;
     Rest();
@@ -333,7 +333,7 @@
     ++open_;
     ++change->open;
     ++change->tries;
-    const int rank = static_cast<int>(random_() % kGatekeepers);
+    const int rank = static_cast<int>(random_() % kGateways);
     std::string message;
     const std::string extras = "c=schedule-change,t=basic,d=" + std::to_string(kPatience.count()) +
                                ",k=" + change->key + ",units=1,spread=3,first=0";
@@ -399,13 +399,13 @@
     Discovery discovery(base_.get());
     Counter counter(base_.get());
     discovery.Tell(nodes.Listed(kNodesEach));
-    Group on(base_.get(), folder_, "cost-on", true, nodes.Listed(kNodesEach), discovery.place(),
-             counter.place(), options_.seed);
-    Group off(base_.get(), folder_, "cost-off", false, nodes.Listed(kNodesEach), discovery.place(),
-              counter.place(), options_.seed);
+    Group on(base_.get(), folder_, "cost-on", true, nodes.Listed(kNodesEach), discovery.address(),
+             counter.address(), options_.seed);
+    Group off(base_.get(), folder_, "cost-off", false, nodes.Listed(kNodesEach), discovery.address(),
+              counter.address(), options_.seed);
     on.datagrams.most_delay = milliseconds(5);
-    Clients on_clients(base_.get(), kGatekeepers, [&](int rank) { return on.port(rank); });
-    Clients off_clients(base_.get(), kGatekeepers, [&](int rank) { return off.port(rank); });
+    Clients on_clients(base_.get(), kGateways, [&](int rank) { return on.port(rank); });
+    Clients off_clients(base_.get(), kGateways, [&](int rank) { return off.port(rank); });
     WaitReady(on, on_clients);
     WaitReady(off, off_clients);
     const double on_before = on.Cpu(), off_before = off.Cpu();
@@ -415,7 +415,7 @@
     std::function<void()> next = [&] {
       const double due = std::chrono::duration<double>(Clock::now() - begun).count() * options_.cost_rate;
       for (; sent < total && sent < due; ++sent) {
-        const int rank = static_cast<int>(random_() % kGatekeepers);
+        const int rank = static_cast<int>(random_() % kGateways);
         const std::string customer = Hex(random_() % kFirms + 1, 16), key = Hex(random_(), 16);
         const bool is_change = Chance() < 0.23;  // the site's mix
         for (Clients* clients : {&on_clients, &off_clients}) {
@@ -474,10 +474,10 @@
     must(clean_stop_, "a gatekeeper did not end with 0 at SIGTERM");
     must(answered >= 0.99,
          "only " + std::to_string(answered) + " of the changes ended with a definite answer");
-    if (options_.without.empty()) {
+    if (options_.disabled.empty()) {
       must(store_max_ > 0 && store_max_ <= store_bound_, "the store took more bytes than its bound");
     }
-    if (options_.without.empty() && !options_.skip_cost) {
+    if (options_.disabled.empty() && !options_.skip_cost) {
       must(ratio > 0 && ratio <= 1.05, "the store costs too much CPU: ratio " + std::to_string(ratio));
       must(cost_served_ > 0.99, "the traffic of the second part was not served");
     }
@@ -489,10 +489,10 @@
                       {"different_answers", different_},
                       {"unanswered", unanswered_},
                       {"unknown_told", unknown_told_},
-                      {"replayed", figures_["replayed"]},
-                      {"joined", figures_["joined"]},
-                      {"fetched", figures_["fetched"]},
-                      {"resumed", figures_["resumed"]},
+                      {"replayed", metrics_["replayed"]},
+                      {"joined", metrics_["joined"]},
+                      {"fetched", metrics_["fetched"]},
+                      {"resumed", metrics_["resumed"]},
                       {"dropped_by_pods", dropped_by_pods_},
                       {"store_bytes_max", store_max_},
                       {"store_bytes_bound", store_bound_},
@@ -518,7 +518,7 @@
   std::vector<std::shared_ptr<Change>> changes_;
   std::vector<std::pair<Clock::time_point, Clock::time_point>> down_;
   std::map<std::string, int> errors_;
-  std::map<std::string, double> figures_;
+  std::map<std::string, double> metrics_;
   int open_ = 0;
   std::uint64_t attempted_ = 0, applied_ = 0, applied_twice_ = 0, different_ = 0, unknown_told_ = 0,
                 dropped_by_pods_ = 0, too_long_ = 0;
@@ -538,7 +538,7 @@
   app.add_flag("--skip-cost", options.skip_cost, "Leaves out the second part, which measures CPU");
   app.add_option("--seed", options.seed, "Random numbers");
   app.add_option("--cost-rate", options.cost_rate, "Requests a second in the second part, to each group");
-  app.add_option("--without", options.without, "Switches a defence off")->check(CLI::IsMember({"store"}));
+  app.add_option("--without", options.disabled, "Switches a defence off")->check(CLI::IsMember({"store"}));
   app.add_option("--changes", options.changes, "Changes in the first part");
   CLI11_PARSE(app, argc, argv);
   if (options.is_short) options.changes = std::min(options.changes, 2'000), options.cost_s = 15;
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,4 +1,4 @@
-// The fault soak: many real gatekeepers on loopback, faults that overlap in time, all drawn from one seed,
+// The fault soak: many real gateways on loopback, faults that overlap in time, all drawn from one seed,
 // and clients of every habit that use their connections until the kill. Exit 0 only if every invariant held;
 // the last line is one JSON object. A failing seed is a test case: run it again with --seed.
 #include <CLI/CLI.hpp>
@@ -49,7 +49,7 @@
         random_(settings.seed),
         oracle_(ledger_, settings.processes),
         rig_(RigOptions(settings)),
-        gatekeepers_(static_cast<std::size_t>(settings.processes)) {
+        gateways_(static_cast<std::size_t>(settings.processes)) {
     rig_.nodes().least_service = milliseconds(Draw(5, 60));
     rig_.nodes().value_size = [](std::string_view id) {
       return fleet_rig::WantsLargeAnswer(id) ? kLargeValue : 0;
@@ -86,7 +86,7 @@
   }
 
  private:
-  struct Gatekeeper {
+  struct Gateway {
     std::vector<std::unique_ptr<HabitClient>> clients;
     std::vector<std::unique_ptr<HabitClient>> crowd;
     Clock::time_point new_until{};  // new connections come until then
@@ -99,7 +99,7 @@
 
   static fleet_rig::Options RigOptions(const Settings& settings) {
     fleet_rig::Options out;
-    out.gatekeepers = settings.processes;
+    out.gateways = settings.processes;
     out.nodes = settings.nodes;
     out.loss = 0.02;
     out.seed = settings.seed;
@@ -108,17 +108,17 @@
     out.more_classes = fleet_rig::ClassesOfOtherEffects();
     return out;
   }
-  Gatekeeper& at(int i) { return gatekeepers_[static_cast<std::size_t>(i)]; }
+  Gateway& at(int i) { return gateways_[static_cast<std::size_t>(i)]; }
   int size() const { return settings_.processes; }
   int Draw(int least, int most) {
     return least + static_cast<int>(random_() % static_cast<unsigned>(most - least + 1));
   }
-  int AnyGatekeeper() { return Draw(0, size() - 1); }
+  int AnyGateway() { return Draw(0, size() - 1); }
   Clock::time_point In(int least_ms, int most_ms) {
     return Clock::now() + milliseconds(Draw(least_ms, most_ms));
   }
 
-  // ---- Clients: one of each habit at each gatekeeper, dialled anew while the front sends there.
+  // ---- Clients: one of each habit at each gateway, dialled anew while the front sends there.
   void KeepClients() {
     for (int i = 0; i < size(); ++i) {
       auto& clients = at(i).clients;
@@ -135,7 +135,7 @@
   void Connect(int i, Habit habit, std::vector<std::unique_ptr<HabitClient>>& to) {
     using fleet_rig::RequestClass;
     const HabitClient::Target target{
-        .gatekeeper = i,
+        .gateway = i,
         .port = rig_.port(i),
         .spread = std::min(size(), 4),
         .deadline = milliseconds(Draw(300, 2'500)),
@@ -148,7 +148,7 @@
 
   // ---- Faults
   void Inject() {
-    const int i = AnyGatekeeper();
+    const int i = AnyGateway();
     switch (Draw(0, 13)) {
       case 0:
         return Terminate(i);
@@ -277,7 +277,7 @@
 
   // ---- What time brings
   void Ended(int i) {
-    Gatekeeper& g = at(i);
+    Gateway& g = at(i);
     g.drained.reset();
     g.terminated.reset();
     g.continue_at.reset();
@@ -301,7 +301,7 @@
     if (std::erase_if(draining_nodes_, [now](const auto& d) { return now >= d.second; }) > 0) TellNodes();
   }
   void MoveOn(int i, Clock::time_point now) {
-    Gatekeeper& g = at(i);
+    Gateway& g = at(i);
     const auto due = [now](const std::optional<Clock::time_point>& when) { return when && now >= *when; };
     if (due(g.continue_at)) {
       g.continue_at.reset();
@@ -375,22 +375,22 @@
       if (times > 1) oracle_.Broken("keyed requests change things once", key);
     }
     for (const std::string& line : rig_.broken()) oracle_.Broken("no process ends unasked", line);
-    CheckFigures();
+    CheckMetrics();
     const bool sound = oracle_.findings().empty();
     if (!sound) Report();
     Print(sound);
     return sound ? 0 : 1;
   }
-  void CheckFigures() {
-    rig_.ReadFigures();
+  void CheckMetrics() {
+    rig_.ReadMetrics();
     for (int i = 0; i < size(); ++i) {
       if (!rig_.alive(i)) continue;
       for (std::size_t r = 0; r < safety::kRules; ++r) {
         const std::string rule(Name(safety::Rule(r)));
-        const double count = rig_.Figure(i, "svc_rule_violations{rule=\"" + rule + "\"}");
+        const double count = rig_.Metric(i, "svc_rule_violations{rule=\"" + rule + "\"}");
         if (count > 0)
           oracle_.Broken("the program counts no violation of its own", rule + " at gk-" + std::to_string(i));
-        preventions_ += rig_.Figure(i, "svc_rule_preventions{rule=\"" + rule + "\"}");
+        preventions_ += rig_.Metric(i, "svc_rule_preventions{rule=\"" + rule + "\"}");
       }
     }
     for (int i = 0; i < size(); ++i) {
@@ -437,7 +437,7 @@
   std::map<int, Clock::time_point> hung_, dead_nodes_, draining_nodes_;  // until when
   SoakOracle oracle_;  // outlives the rig, whose end still lets nodes tell of attempts
   Rig rig_;
-  std::vector<Gatekeeper> gatekeepers_;
+  std::vector<Gateway> gateways_;
   int drains_judged_ = 0;
   Clock::duration own_lag_{0};  // of this process, which plays all partners, the longest
   double preventions_ = 0;
--- a/include/postspread/control.h
+++ b/include/postspread/control.h
@@ -29,7 +29,7 @@
 // Whether a request that may have run may be sent again: always; to the servers that drop its repeats; never.
 enum class Repeat { kSafe, kKeyed, kUnsafe };
 enum class Scope { kAll, kZone, kCell };               // the servers that drop repeats of one keyed request
-enum class RosterMode { kPushed, kSubscribe };         // does the roster come unasked?
+enum class DiscoveryMode { kPushed, kSubscribe };      // does the endpoint list come unasked?
 enum class ReportSource { kNone, kAnswers, kProbes };  // where load reports come from
 enum class WeightMeaning { kNone, kNominal, kRough, kLive };
 
@@ -67,7 +67,7 @@
   std::string zone;    // this gateway's
   int rank = 0;        // this gateway's number among its group
   int group_size = 1;  // gateways of the group
-  RosterMode roster_mode = RosterMode::kPushed;
+  DiscoveryMode discovery_mode = DiscoveryMode::kPushed;
   ReportSource report_source = ReportSource::kNone;
   WeightMeaning weights = WeightMeaning::kNone;
   Duration tick{0};  // the least time between two events at different times
@@ -133,10 +133,10 @@
 // ---- Events
 // ------------------------------------------------------------------------------------------------
 
-enum class RosterKind { kPartial, kComplete, kPersisted, kError };
+enum class EndpointListKind { kPartial, kComplete, kPersisted, kError };
 
-struct RosterEvent {
-  RosterKind kind = RosterKind::kComplete;
+struct EndpointListEvent {
+  EndpointListKind kind = EndpointListKind::kComplete;
   std::uint64_t version = 0;
   std::shared_ptr<const std::vector<ServerInfo>> servers;  // null for kError
 };
@@ -218,7 +218,7 @@
   std::string bytes;
 };
 
-using Event = std::variant<RosterEvent, RequestEvent, OutcomeEvent, StreamStartedEvent, ClientGoneEvent,
+using Event = std::variant<EndpointListEvent, RequestEvent, OutcomeEvent, StreamStartedEvent, ClientGoneEvent,
                            TimerEvent, CounterEvent, ProbeEvent, PeerMessageEvent>;
 
 // ---- Actions
@@ -264,7 +264,7 @@
 struct Subscribe {};
 
 // What the counter's total tells of a customer, worth telling other gateways: its asks over its rate.
-struct Learnt {
+struct ObservedUsage {
   std::string customer;
   double demand = 0.0;
 };
@@ -273,7 +273,8 @@
   std::string line;
 };
 
-using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, CounterAdd, Probe, Subscribe, Learnt, Log>;
+using Action =
+    std::variant<Send, Refuse, Fail, Cancel, SetTimer, CounterAdd, Probe, Subscribe, ObservedUsage, Log>;
 
 // Makes the decisions of one gateway. Not thread-safe: one thread at a time.
 class Controller {
@@ -292,11 +293,11 @@
   void Reconfigure(Settings settings);
 
   // Servers in the list, and of these the ones that are avoided at this moment: draining, or taken out.
-  struct Roll {
+  struct UpstreamCounts {
     std::size_t listed = 0;
     std::size_t avoided = 0;
   };
-  Roll Count(TimePoint now) const;
+  UpstreamCounts Count(TimePoint now) const;
 
  private:
   class Impl;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::int64_t kLeastMemoryMb =
     16;  // the program itself, one body of 4 MB and its copy, and a busy second
-constexpr std::chrono::seconds kUsualHopIdle{30};
+constexpr std::chrono::seconds kDefaultUpstreamIdle{30};
 constexpr std::int64_t kUsualMaxOpen = 20'000;
 // Members of the configuration that this program reads, or that its pages allow without a use here.
 constexpr std::string_view kKnownKeys[] = {"counter", "discovery", "known", "limits",
@@ -134,13 +134,13 @@
       return 0;
     });
     if (Find(from, "known") != nullptr)
-      out.known = Within("known", [&] { return DecodeRoster(from["known"]); });
+      out.known = Within("known", [&] { return DecodeEndpointList(from["known"]); });
     const json& settings = Need(from, "settings");
     out.settings = Within("settings", [&] { return DecodeSettings(settings); });
     Within("settings.Limits", [&] {
       const json& own = Part(settings, "Limits");
-      out.hop_idle = std::chrono::microseconds(
-          Limit(own, "ConnIdle", 1, std::chrono::microseconds(kUsualHopIdle).count()));
+      out.upstream_idle = std::chrono::microseconds(
+          Limit(own, "ConnIdle", 1, std::chrono::microseconds(kDefaultUpstreamIdle).count()));
       out.max_open = static_cast<std::size_t>(Limit(own, "MaxOpen", 1, kUsualMaxOpen));
       return 0;
     });
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "config/address.h"
-#include "config/roster.h"
+#include "config/endpoint_list.h"
 #include "postspread/control.h"
 
 namespace postspread::config {
@@ -30,7 +30,7 @@
   Address discovery;
   std::optional<Address> ops;      // where operators call; nothing: no door
   std::optional<Address> counter;  // nothing: the site has none
-  // As given, for subsystems that talk to the other gatekeepers: ToPeers reads them.
+  // As given, for subsystems that talk to the other gateways: ToPeers reads them.
   std::string peer_listen;
   std::vector<std::string> peers;
   std::string peers_all;
@@ -38,10 +38,10 @@
   std::uint64_t seed = 0;
   std::size_t memory_mb = 192;
   std::size_t sockets = 1024;
-  Roster known;
+  EndpointList known;
   Settings settings;
-  std::chrono::microseconds hop_idle{0};  // a next hop closes a connection that stood idle for so long
-  std::size_t max_open = 0;               // envelopes held at once
+  std::chrono::microseconds upstream_idle{0};  // an upstream closes a connection that stood idle for so long
+  std::size_t max_open = 0;                    // requests held at once
   // The file's keys, sorted, as "settings.Limits.MostTries"; of a list's elements those that all of them
   // have, as "settings.Classes[].Aim". Below `known` none are kept.
   std::vector<std::string> keys;
@@ -50,7 +50,7 @@
   std::vector<std::string> unknown_keys;
 };
 
-// Where the gatekeepers of the group are reached by datagrams.
+// Where the gateways of the group are reached by datagrams.
 struct Peers {
   Address listen;
   std::vector<Address> each;   // by rank, the own one included
--- /dev/null
+++ b/src/config/endpoint_list.cpp
@@ -0,0 +1,51 @@
+#include "config/endpoint_list.h"
+
+#include <limits>
+#include <optional>
+#include <string>
+
+#include "json_read.h"
+
+namespace postspread::config {
+namespace {
+
+using namespace json_read;
+
+planner::UpstreamState ToState(const std::string& status) {
+  if (status == "Ready") return planner::UpstreamState::kReady;
+  if (status == "Gone") return planner::UpstreamState::kGone;
+  return planner::UpstreamState::kDraining;  // also what is not known: it is not said to be ready
+}
+
+Endpoint DecodeEntry(const json& from) {
+  Endpoint out;
+  out.upstream.name = Text(from, "name");
+  out.upstream.zone = TextOr(from, "zone");
+  out.upstream.kind = TextOr(from, "type");
+  out.upstream.cell = IntegerOr(from, "group", 0);
+  out.upstream.state = ToState(Text(from, "status"));
+  out.upstream.weight = NumberOr(from, "weight", 1);
+  out.upstream.started = std::chrono::milliseconds(IntegerOr(from, "since_ms", 0));
+  const std::string address = TextOr(from, "address");
+  if (const std::optional<Address> parsed = Address::Parse(address)) {
+    out.address = *parsed;
+  } else if (out.upstream.state != planner::UpstreamState::kGone) {
+    Bad("member \"address\" is not ADDRESS:PORT: \"" + address + "\"");
+  }
+  return out;
+}
+
+}  // namespace
+
+EndpointList DecodeEndpointList(const json& from) {
+  if (!from.is_object()) Bad("not a JSON object");
+  EndpointList out;
+  out.index = static_cast<std::uint64_t>(Integer(from, "index", 0, std::numeric_limits<std::int64_t>::max()));
+  out.full = FlagOr(from, "snapshot");
+  const json& entries = Array(from, "endpoints");
+  out.entries.reserve(entries.size());
+  for (const json& entry : entries) out.entries.push_back(DecodeEntry(entry));
+  return out;
+}
+
+}  // namespace postspread::config
--- a/src/config/roster.h
+++ b/src/config/endpoint_list.h
@@ -1,6 +1,6 @@
-// Discovery's list of next hops, decoded once.
-#ifndef POSTSPREAD_CONFIG_ROSTER_H_
-#define POSTSPREAD_CONFIG_ROSTER_H_
+// Discovery's list of upstreams, decoded once.
+#ifndef POSTSPREAD_CONFIG_ENDPOINT_LIST_H_
+#define POSTSPREAD_CONFIG_ENDPOINT_LIST_H_
 
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -11,20 +11,20 @@
 
 namespace postspread::config {
 
-struct RosterEntry {
-  planner::NextHop hop;
+struct Endpoint {
+  planner::Upstream upstream;
   Address address;
 };
 
-struct Roster {
+struct EndpointList {
   std::uint64_t index = 0;
   bool full = true;  // else the entries that changed
-  std::vector<RosterEntry> entries;
+  std::vector<Endpoint> entries;
 };
 
 // Throws json_read::JsonError, which names the faulty member.
-Roster DecodeRoster(const nlohmann::json& from);
+EndpointList DecodeEndpointList(const nlohmann::json& from);
 
 }  // namespace postspread::config
 
-#endif  // POSTSPREAD_CONFIG_ROSTER_H_
+#endif  // POSTSPREAD_CONFIG_ENDPOINT_LIST_H_
--- a/src/roster/call_times.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -1,25 +1,26 @@
-#include "roster/call_times.h"
+#include "discovery/discovery_schedule.h"
 
 #include <algorithm>
 
-namespace postspread::roster {
+namespace postspread::discovery {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kRefusedShare{200};             // a gatekeeper's part of the five calls a second
+constexpr milliseconds kRefusedShare{200};             // a gateway's part of the five calls a second
 constexpr double kLeastShare = 0.5, kMostShare = 1.5;  // of the mean pause: chance, so that none go in step
 
 milliseconds Up(std::chrono::microseconds time) { return std::chrono::ceil<milliseconds>(time); }
 
 }  // namespace
 
-CallTimes::CallTimes(std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed)
+DiscoverySchedule::DiscoverySchedule(std::chrono::microseconds dial_timeout, int group_size,
+                                     std::uint64_t seed)
     : dial_(std::min<std::chrono::microseconds>(dial_timeout, kMostDial)),
       mean_(kRefusedShare * std::max(1, group_size)),
       random_(seed) {}
 
-milliseconds CallTimes::Refused() {
+milliseconds DiscoverySchedule::Refused() {
   fault_ = true;
   // What the bound leaves for the pause: see the ways in the header.
   const milliseconds dial = Up(dial_), failed = dial + kShortWait + kOverdue, told = dial + kOverdue;
@@ -31,4 +32,4 @@
   return std::chrono::floor<milliseconds>(mean * share);
 }
 
-}  // namespace postspread::roster
+}  // namespace postspread::discovery
--- a/src/roster/call_times.h
+++ b/src/discovery/discovery_schedule.h
@@ -1,12 +1,12 @@
 // When discovery is called, and when a call is given up. No clock, no I/O: what happened is handed in.
-#ifndef POSTSPREAD_ROSTER_CALL_TIMES_H_
-#define POSTSPREAD_ROSTER_CALL_TIMES_H_
+#ifndef POSTSPREAD_DISCOVERY_DISCOVERY_SCHEDULE_H_
+#define POSTSPREAD_DISCOVERY_DISCOVERY_SCHEDULE_H_
 
 #include <chrono>
 #include <cstdint>
 #include <random>
 
-namespace postspread::roster {
+namespace postspread::discovery {
 
 // A change counts as told kTold after discovery had it and could be reached, whatever became of the calls. So
 // each way from a change to the answer that brings it has to be shorter. The longest ones have two faults,
@@ -18,7 +18,7 @@
 // A dial takes Dial() at the most; a call is given up kOverdue after it need not wait any more; and a call
 // after the change, that it asks for, is answered at once. The pauses are what these ways leave of kTold -
 // kSpare.
-class CallTimes {
+class DiscoverySchedule {
  public:
   static constexpr std::chrono::milliseconds kTold{6'000};
   static constexpr std::chrono::milliseconds kSpare{500};  // of it, for the loop's and the agent's own time
@@ -31,8 +31,8 @@
   // Of a dial: the agent is on this machine, and what takes longer is not coming.
   static constexpr std::chrono::milliseconds kMostDial{300};
 
-  // A group of `group_size` gatekeepers; `dial_timeout` is the settings'; `seed` spreads the calls.
-  CallTimes(std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed);
+  // A group of `group_size` gateways; `dial_timeout` is the settings'; `seed` spreads the calls.
+  DiscoverySchedule(std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed);
 
   std::chrono::microseconds Dial() const { return dial_; }
   // How long the next call may wait for a change.
@@ -60,6 +60,6 @@
   std::minstd_rand random_;
 };
 
-}  // namespace postspread::roster
+}  // namespace postspread::discovery
 
-#endif  // POSTSPREAD_ROSTER_CALL_TIMES_H_
+#endif  // POSTSPREAD_DISCOVERY_DISCOVERY_SCHEDULE_H_
--- a/src/flow/byte_budget.cpp
+++ b/src/flow/byte_budget.cpp
@@ -17,7 +17,7 @@
 }
 
 void ByteBudget::Leave(Waiter& waiter) {
-  std::erase_if(line_, [&waiter](const Place& place) { return place.waiter == &waiter; });
+  std::erase_if(line_, [&waiter](const QueueEntry& place) { return place.waiter == &waiter; });
   Grant();
 }
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -37,13 +37,13 @@
   void Grant();
 
  private:
-  struct Place {
+  struct QueueEntry {
     Waiter* waiter;
     std::size_t bytes;
   };
   std::size_t total_;
   std::size_t used_ = 0;
-  std::deque<Place> line_;
+  std::deque<QueueEntry> line_;
 };
 
 }  // namespace postspread::flow
--- a/src/flow/shares.cpp
+++ b/src/flow/shares.cpp
@@ -19,15 +19,15 @@
 Shares ToShares(const Limits& limits) {
   const std::size_t processes = limits.shared ? 2 : 1;
   const std::size_t memory = limits.memory / processes;
-  const std::size_t sockets =
-      limits.sockets / processes - config::kOtherSockets - (limits.has_door ? config::kDoorSockets : 0);
-  // A next hop's connection is used again and again, a client's may be new with each request and slow.
+  const std::size_t sockets = limits.sockets / processes - config::kOtherSockets -
+                              (limits.has_admin_server ? config::kAdminSockets : 0);
+  // An upstream's connection is used again and again, a client's may be new with each request and slow.
   const std::size_t clients = sockets * 5 / 8;
-  return {.letters = memory / 8,
+  return {.requests = memory / 8,
           .bodies = std::max(limits.largest_command, memory / 4),
           .passing = memory / 8,
           .clients = clients,
-          .hops = sockets - clients};
+          .upstreams = sockets - clients};
 }
 
 }  // namespace postspread::flow
--- a/src/idempotency/digest.cpp
+++ b/src/idempotency/digest.cpp
@@ -41,8 +41,8 @@
   return static_cast<std::uint32_t>(XXH3_64bits(customer.data(), customer.size()));
 }
 
-std::uint64_t Rendezvous(const KeyId& key, std::uint64_t place) {
-  const std::uint64_t words[] = {key.high, key.low, place};
+std::uint64_t Rendezvous(const KeyId& key, std::uint64_t identity) {
+  const std::uint64_t words[] = {key.high, key.low, identity};
   return XXH3_64bits_withSeed(words, sizeof words, kPlaceSeed);
 }
 
--- a/src/idempotency/digest.h
+++ b/src/idempotency/digest.h
@@ -21,7 +21,7 @@
 
 // A number for (key, place) that is the same everywhere: the highest of a key's is its place by rendezvous
 // (Thaler and Ravishankar, 1998).
-std::uint64_t Rendezvous(const KeyId& key, std::uint64_t place);
+std::uint64_t Rendezvous(const KeyId& key, std::uint64_t identity);
 
 std::uint32_t Checksum(std::string_view bytes);
 
--- a/src/idempotency/limits.h
+++ b/src/idempotency/limits.h
@@ -10,7 +10,7 @@
 // What becomes of a new key that the store has no room for.
 enum class WhenFull { kDefer, kPass };  // refused with a retry-after; passed on unprotected, and counted
 
-// What becomes of a new key that nobody can vouch for: this gatekeeper started less than `keep` ago and no
+// What becomes of a new key that nobody can vouch for: this gateway started less than `keep` ago and no
 // peer that has been up for longer could be asked.
 enum class Unvouched { kPin, kDefer };  // sent to its pod alone, which drops repeats; refused
 
@@ -22,7 +22,7 @@
   std::size_t max_waiters = 64;            // repeats that wait for one key
   WhenFull when_full = WhenFull::kDefer;
   Unvouched unvouched = Unvouched::kPin;
-  std::size_t witnesses = 2;  // gatekeepers of a customer's set that note a key down before its work begins
+  std::size_t witnesses = 2;  // gateways of a customer's set that note a key down before its work begins
   std::size_t datagrams_per_second = 20;         // to each peer, at most
   std::chrono::milliseconds peer_silent{1'500};  // of a peer that is asked and does not answer: it is away
   bool operator==(const Limits&) const = default;
--- a/src/idempotency/peers.cpp
+++ b/src/idempotency/peers.cpp
@@ -14,14 +14,14 @@
 // A life is numbered by the wall clock at its start, which may have been stepped back since: a lower one is a
 // former life only as long as it may still be under way, or stands beside its successor, and after that a new
 // start.
-constexpr Duration kFormerLife{10'000'000};
+constexpr Duration kFormerIncarnation{10'000'000};
 constexpr double kBurstS = 0.1;  // of the pace: may go at once after a rest
 
 }  // namespace
 
-Peers::Peers(int own_rank, int group_size, std::uint64_t life, const Limits& limits)
+Peers::Peers(int own_rank, int group_size, std::uint64_t incarnation, const Limits& limits)
     : limits_(limits),
-      own_{static_cast<std::uint16_t>(own_rank), life},
+      own_{static_cast<std::uint16_t>(own_rank), incarnation},
       peers_(static_cast<std::size_t>(std::clamp(group_size, 1, kMaxPeers))) {}
 
 void Peers::Queue(int rank, const Record& record, bool wants_answer, TimePoint now) {
@@ -36,11 +36,11 @@
   peer.queue.push_back({EncodeRecord(record), wants_answer});
 }
 
-bool Peers::Heard(int rank, std::uint64_t life, TimePoint now) {
+bool Peers::Heard(int rank, std::uint64_t incarnation, TimePoint now) {
   if (rank < 0 || rank >= static_cast<int>(peers_.size()) || rank == own_.rank) return false;
   Peer& peer = peers_[static_cast<std::size_t>(rank)];
-  if (life < peer.life && now - peer.heard < kFormerLife) return false;
-  peer.life = life;
+  if (incarnation < peer.incarnation && now - peer.heard < kFormerIncarnation) return false;
+  peer.incarnation = incarnation;
   peer.heard = now;
   peer.unanswered = 0;
   return true;
@@ -54,11 +54,12 @@
   view_ = std::move(view);
 }
 
-bool Peers::Restarted(int rank, std::uint64_t life) const {
+bool Peers::Restarted(int rank, std::uint64_t incarnation) const {
   const auto index = static_cast<std::size_t>(rank);
-  const std::uint64_t heard = peers_[index].life;
-  if (heard != 0 && heard != life) return true;
-  return index < view_.size() && view_[index].life > life / 1'000;  // a life here is in microseconds
+  const std::uint64_t heard = peers_[index].incarnation;
+  if (heard != 0 && heard != incarnation) return true;
+  return index < view_.size() &&
+         view_[index].incarnation > incarnation / 1'000;  // a life here is in microseconds
 }
 
 bool Peers::Away(int rank, TimePoint now) const {
@@ -68,7 +69,9 @@
   return peer.unanswered >= kUnanswered && now - peer.unanswered_since >= limits_.peer_silent;
 }
 
-std::uint64_t Peers::Life(int rank) const { return peers_[static_cast<std::size_t>(rank)].life; }
+std::uint64_t Peers::Incarnation(int rank) const {
+  return peers_[static_cast<std::size_t>(rank)].incarnation;
+}
 
 double Peers::Burst() const {
   return std::max(1.0, static_cast<double>(limits_.datagrams_per_second) * kBurstS);
--- a/src/idempotency/peers.h
+++ b/src/idempotency/peers.h
@@ -1,4 +1,4 @@
-// The other gatekeepers of the group as the keeper sees them: what waits to be sent to each, at what pace,
+// The other gateways of the group as the replica sees them: what waits to be sent to each, at what pace,
 // who answers, and which life each is in. Free of I/O and clock.
 //
 // Bounds: kMaxPeers peers; 512 records wait for each at most (the newest is dropped beyond that: every record
@@ -18,21 +18,21 @@
 
 namespace postspread::idempotency {
 
-inline constexpr int kMaxPeers = 1'000;  // as many as the view of the fleet holds
+inline constexpr int kMaxPeers = 1'000;  // as many as the membership view holds
 
 class Peers {
  public:
-  // `life` is higher than that of any earlier start of this gatekeeper, but where the wall clock was stepped
+  // `life` is higher than that of any earlier start of this gateway, but where the wall clock was stepped
   // back.
-  Peers(int own_rank, int group_size, std::uint64_t life, const Limits& limits);
+  Peers(int own_rank, int group_size, std::uint64_t incarnation, const Limits& limits);
 
   void SetLimits(const Limits& limits) { limits_ = limits; }
 
-  // What the view of the fleet says of each peer, by rank, where this installation keeps one; empty: nothing.
+  // What the membership view says of each peer, by rank, where this installation keeps one; empty: nothing.
   // Who is gone by it is away without being asked; of all others silence decides, as without it.
   struct Seen {
-    bool gone = false;       // dead, or told to leave
-    std::uint64_t life = 0;  // milliseconds; 0: never heard of
+    bool gone = false;              // dead, or told to leave
+    std::uint64_t incarnation = 0;  // milliseconds; 0: never heard of
     bool operator==(const Seen&) const = default;
   };
   void SetView(std::vector<Seen> view);
@@ -41,14 +41,14 @@
   void Queue(int rank, const Record& record, bool wants_answer, TimePoint now);
 
   // A datagram of this peer has come. False where it is of an earlier life than one that was heard of late.
-  bool Heard(int rank, std::uint64_t life, TimePoint now);
+  bool Heard(int rank, std::uint64_t incarnation, TimePoint now);
 
   // The peer is gone by the view, or was asked often and long enough and has said nothing.
   bool Away(int rank, TimePoint now) const;
   // Of the life last heard of; 0: never heard.
-  std::uint64_t Life(int rank) const;
+  std::uint64_t Incarnation(int rank) const;
   // Whether the peer has started again since `life`, by what it sent itself or by the view.
-  bool Restarted(int rank, std::uint64_t life) const;
+  bool Restarted(int rank, std::uint64_t incarnation) const;
 
   // What may be sent by now, sealed; calls `tell(rank, bytes)` for each datagram.
   template <typename F>
@@ -68,7 +68,7 @@
     bool wants_answer = false;
   };
   struct Peer {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     TimePoint heard{0};
     std::deque<Waiting> queue;
     double tokens = 1;  // datagrams that may go now
--- a/src/idempotency/rank_set.h
+++ b/src/idempotency/rank_set.h
@@ -1,4 +1,4 @@
-// A few gatekeepers of a group of any size, by rank: what an entry of the store notes of others. Small, for
+// A few gateways of a group of any size, by rank: what an entry of the store notes of others. Small, for
 // there is one for each key; whoever finds no room in it is not noted.
 #ifndef POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
 #define POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
--- a/src/idempotency/keeper.cpp
+++ b/src/idempotency/replica.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/keeper.h"
+#include "idempotency/replica.h"
 
 #include <algorithm>
 #include <bit>
@@ -18,12 +18,12 @@
 constexpr double kAskEveryDatagrams = 3;    // and so many datagrams' time at the pace to a peer
 constexpr Duration kFollowEvery{100'000};   // between two questions to a holder whose work runs
 constexpr Duration kFullRetry{1'000'000};   // advice where the store is full: answers age in seconds
-constexpr Duration kNoPodRetry{500'000};    // advice where no next hop takes anything
+constexpr Duration kNoPodRetry{500'000};    // advice where no upstream takes anything
 constexpr Duration kSoonRetry{100'000};     // advice where a peer's word was still missing
 // Of a pod's window, at its end: what a request may take from here to the pod. Later than that none is begun.
 constexpr Duration kOnTheWay{50'000};
 constexpr std::uint32_t kAnyRound = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t kPodPlace = 1;  // apart: places of pods and of gatekeepers
+constexpr std::uint64_t kPodPlace = 1;  // apart: places of pods and of gateways
 constexpr std::uint64_t kRankPlace = 2;
 constexpr std::uint16_t kFetchWindow = 32;  // fragments asked for at once: the bits of a FetchRecord
 
@@ -59,7 +59,7 @@
 
 std::string Summary(const Counts& counts, std::size_t keys, std::size_t used, std::size_t peak,
                     std::size_t bound) {
-  const std::pair<const char*, std::uint64_t> figures[] = {{"keys", keys},
+  const std::pair<const char*, std::uint64_t> metrics[] = {{"keys", keys},
                                                            {"bytes", used},
                                                            {"bytes_max", peak},
                                                            {"bytes_bound", bound},
@@ -80,41 +80,41 @@
                                                            {"datagrams_bad", counts.datagrams_bad},
                                                            {"records_dropped", counts.records_dropped}};
   std::string out;
-  for (const auto& [name, figure] : figures) {
+  for (const auto& [name, figure] : metrics) {
     if (!out.empty()) out += ' ';
     out.append(name).append("=").append(std::to_string(figure));
   }
   return out;
 }
 
-Keeper::Keeper(const Limits& limits, Place place, TimePoint now)
+IdempotencyReplica::IdempotencyReplica(const Limits& limits, Identity identity, TimePoint now)
     : limits_(limits),
-      place_(place),
+      identity_(identity),
       start_(now),
-      ledger_(limits.memory, limits.customer_share),
-      peers_(place.rank, place.group_size, place.life, limits) {}
+      store_(limits.memory, limits.customer_share),
+      peers_(identity.rank, identity.group_size, identity.incarnation, limits) {}
 
-void Keeper::SetLimits(const Limits& limits) {
+void IdempotencyReplica::SetLimits(const Limits& limits) {
   const std::size_t memory = std::exchange(limits_, limits).memory;
   limits_.memory = memory;
-  ledger_.SetShare(limits_.customer_share);
+  store_.SetShare(limits_.customer_share);
   peers_.SetLimits(limits_);
 }
 
 // ---- Requests ----
 
-Actions Keeper::Begin(const Ask& ask, TimePoint now) {
+Actions IdempotencyReplica::Begin(const Ask& ask, TimePoint now) {
   actions_.clear();
   const Waiter waiter{ask.waiter, ask.deadline, ask.work};
-  if (Entry* entry = ledger_.Find(ask.key)) {
+  if (Entry* entry = store_.Find(ask.key)) {
     if (entry->fingerprint != ask.fingerprint) {
-      FailOne(waiter, FailReason::kOther);
+      FailOne(waiter, FailureReason::kOther);
     } else if (entry->state == State::kAnswered && entry->has_value) {
       ++counts_.replayed;
-      EndWaiter(waiter, Serve{waiter.id, std::make_shared<std::string>(entry->answer)});
-    } else if (entry->waiters.size() >= limits_.max_waiters || !ledger_.AddWaiter(*entry, waiter)) {
+      EndWaiter(waiter, CompleteRequest{waiter.id, std::make_shared<std::string>(entry->answer)});
+    } else if (entry->waiters.size() >= limits_.max_waiters || !store_.AddWaiter(*entry, waiter)) {
       ++counts_.full_deferred;
-      EndWaiter(waiter, Defer{waiter.id, kFullRetry});
+      EndWaiter(waiter, RejectWithRetryAfter{waiter.id, kFullRetry});
     } else {
       if (entry->state == State::kAsking || entry->state == State::kRunning) ++counts_.joined;
       if (Follow(*entry, now)) File(*entry);
@@ -123,21 +123,21 @@
   }
   const std::optional<Pod> pod = ask.pinned ? HomePod(ask.key) : std::nullopt;
   if (ask.pinned && !pod) {
-    EndWaiter(waiter, Defer{waiter.id, kNoPodRetry});
+    EndWaiter(waiter, RejectWithRetryAfter{waiter.id, kNoPodRetry});
     return Done(now);
   }
-  Entry* entry = ledger_.Add(ask.key, ask.customer);
-  if (entry != nullptr && !ledger_.AddWaiter(*entry, waiter)) {
-    ledger_.Remove(*entry);
+  Entry* entry = store_.Add(ask.key, ask.customer);
+  if (entry != nullptr && !store_.AddWaiter(*entry, waiter)) {
+    store_.Remove(*entry);
     entry = nullptr;
   }
   if (entry == nullptr) {
     if (limits_.when_full == WhenFull::kPass) {
       ++counts_.full_passed;
-      Act(Pass{waiter.id, waiter.work, waiter.deadline});
+      Act(StartUnprotected{waiter.id, waiter.work, waiter.deadline});
     } else {
       ++counts_.full_deferred;
-      EndWaiter(waiter, Defer{waiter.id, kFullRetry});
+      EndWaiter(waiter, RejectWithRetryAfter{waiter.id, kFullRetry});
     }
     return Done(now);
   }
@@ -151,16 +151,17 @@
   return Done(now);
 }
 
-Actions Keeper::Ended(WaiterId id, End end, std::string value, Duration retry_after, TimePoint now) {
+Actions IdempotencyReplica::OnWorkFinished(WaiterId id, End end, std::string value, Duration retry_after,
+                                           TimePoint now) {
   actions_.clear();
-  Entry* const entry = ledger_.FindByWaiter(id);
+  Entry* const entry = store_.FindByWaiter(id);
   if (entry == nullptr || entry->state != State::kRunning || entry->running != id) return Done(now);
   entry->running = 0;
   if (end == End::kServed) {
     entry->applied = true;
-    if (value.size() <= kMaxAnswer && ledger_.Reserve(*entry, value.size())) {
+    if (value.size() <= kMaxAnswer && store_.Reserve(*entry, value.size())) {
       entry->answer.assign(value);
-      ledger_.MarkAnswered(*entry);
+      store_.MarkAnswered(*entry);
     } else {
       entry->state = State::kAnswered;
       ++values_unkept_;
@@ -170,7 +171,7 @@
   } else if (end == End::kRefused && !entry->resumed) {
     DeferAll(*entry, retry_after);
     Withdraw(*entry, -1, now);
-    ledger_.Remove(*entry);
+    store_.Remove(*entry);
     return Done(now);
   } else {
     entry->state = entry->applied ? State::kAnswered : State::kUnknown;
@@ -182,8 +183,8 @@
       const auto own = std::find_if(entry->waiters.begin(), entry->waiters.end(),
                                     [id](const Waiter& w) { return w.id == id; });
       const Waiter waiter = *own;
-      ledger_.RemoveWaiter(*entry, id);
-      FailOne(waiter, entry->applied ? FailReason::kAnswerGone : FailReason::kUnknown);
+      store_.RemoveWaiter(*entry, id);
+      FailOne(waiter, entry->applied ? FailureReason::kAnswerGone : FailureReason::kUnknown);
       Resume(*entry, now);
     }
   }
@@ -191,24 +192,24 @@
   return Done(now);
 }
 
-bool Keeper::Runs(WaiterId waiter) {
-  const Entry* const entry = ledger_.FindByWaiter(waiter);
+bool IdempotencyReplica::Runs(WaiterId waiter) {
+  const Entry* const entry = store_.FindByWaiter(waiter);
   return entry != nullptr && entry->state == State::kRunning && entry->running == waiter;
 }
 
-Actions Keeper::WaiterGone(WaiterId id, TimePoint now) {
+Actions IdempotencyReplica::OnClientDisconnect(WaiterId id, TimePoint now) {
   actions_.clear();
-  Entry* const entry = ledger_.FindByWaiter(id);
+  Entry* const entry = store_.FindByWaiter(id);
   if (entry == nullptr) return Done(now);
   if (entry->state == State::kRunning && entry->running == id) {
     for (Waiter& waiter : entry->waiters) waiter.gone = waiter.gone || waiter.id == id;
     return Done(now);
   }
-  ledger_.RemoveWaiter(*entry, id);
-  Act(Forget{id});
+  store_.RemoveWaiter(*entry, id);
+  Act(ReleaseRequest{id});
   if (entry->waiters.empty() && entry->state == State::kAsking) {
     Withdraw(*entry, -1, now);
-    ledger_.Remove(*entry);
+    store_.Remove(*entry);
     return Done(now);
   }
   if (entry->waiters.empty()) StopFetch(*entry);
@@ -218,7 +219,7 @@
 
 // ---- Steps ----
 
-bool Keeper::Follow(Entry& entry, TimePoint now) {
+bool IdempotencyReplica::Follow(Entry& entry, TimePoint now) {
   if (entry.waiters.empty()) return true;
   switch (entry.state) {
     case State::kAsking:
@@ -235,7 +236,7 @@
 }
 
 // Asks the key's witnesses, and runs at once where there is none to ask.
-bool Keeper::AskPeers(Entry& entry, TimePoint now) {
+bool IdempotencyReplica::AskPeers(Entry& entry, TimePoint now) {
   StopFetch(entry);
   entry.state = State::kAsking;
   entry.following = false;
@@ -248,19 +249,19 @@
   return Settle(entry, now);
 }
 
-void Keeper::AskAgain(Entry& entry, TimePoint now) {
+void IdempotencyReplica::AskAgain(Entry& entry, TimePoint now) {
   const ClaimRecord claim = ToClaim(entry);
   for (const int rank : entry.pending) peers_.Queue(rank, claim, true, now);
   entry.ask_at = now + AskEvery();
 }
 
 // Every vote that can come is here, or is not waited for any more.
-bool Keeper::Settle(Entry& entry, TimePoint now) {
+bool IdempotencyReplica::Settle(Entry& entry, TimePoint now) {
   if (entry.state != State::kAsking) return true;
   // Where one is away, the next in order takes its place.
   const ClaimRecord claim = ToClaim(entry);
   RankSet pending;
-  for (const int rank : Witnesses(entry, now)) {
+  for (const int rank : Replicas(entry, now)) {
     if (!entry.asked.Has(rank)) {
       peers_.Queue(rank, claim, true, now);
       pending.Add(rank);
@@ -278,7 +279,7 @@
     if (limits_.unvouched == Unvouched::kDefer) {
       DeferAll(entry, kFullRetry);
       Withdraw(entry, -1, now);
-      ledger_.Remove(entry);
+      store_.Remove(entry);
       return false;
     }
   }
@@ -287,7 +288,7 @@
 }
 
 // Begins the work with the request of whoever can wait longest.
-void Keeper::Run(Entry& entry, bool may_have_run, TimePoint now) {
+void IdempotencyReplica::Run(Entry& entry, bool may_have_run, TimePoint now) {
   const auto longest =
       std::max_element(entry.waiters.begin(), entry.waiters.end(),
                        [](const Waiter& a, const Waiter& b) { return a.deadline < b.deadline; });
@@ -301,29 +302,29 @@
     entry.sent = now;
     entry.ends = now + limits_.keep;
   }
-  Act(Start{.waiter = longest->id,
-            .work = longest->work,
-            .deadline = longest->deadline,
-            .pin = {.has_pod = entry.has_pod,
-                    .pod = entry.pod,
-                    .may_have_run = may_have_run,
-                    .age = now - entry.sent + kOnTheWay}});
+  Act(StartRequest{.waiter = longest->id,
+                   .work = longest->work,
+                   .deadline = longest->deadline,
+                   .pin = {.has_pod = entry.has_pod,
+                           .pod = entry.pod,
+                           .may_have_run = may_have_run,
+                           .age = now - entry.sent + kOnTheWay}});
 }
 
 // It may have run and nobody holds its answer: for as long as the pod drops repeats one more may go there.
 // After that nothing that could apply it twice is sent.
-void Keeper::Resume(Entry& entry, TimePoint now) {
+void IdempotencyReplica::Resume(Entry& entry, TimePoint now) {
   StopFetch(entry);
   if (entry.waiters.empty()) return;
   if (now + kOnTheWay < entry.sent + entry.window) return Run(entry, /*may_have_run=*/true, now);
-  FailAll(entry, entry.applied ? FailReason::kAnswerGone : FailReason::kUnknown);
+  FailAll(entry, entry.applied ? FailureReason::kAnswerGone : FailureReason::kUnknown);
 }
 
-bool Keeper::Lost(const Entry& entry, TimePoint now) const {
-  return peers_.Away(entry.holder, now) || peers_.Restarted(entry.holder, entry.holder_life);
+bool IdempotencyReplica::Lost(const Entry& entry, TimePoint now) const {
+  return peers_.Away(entry.holder, now) || peers_.Restarted(entry.holder, entry.holder_incarnation);
 }
 
-bool Keeper::AskHolder(Entry& entry, TimePoint now) {
+bool IdempotencyReplica::AskHolder(Entry& entry, TimePoint now) {
   if (Lost(entry, now)) {
     Resume(entry, now);
     return true;
@@ -338,7 +339,7 @@
   return true;
 }
 
-void Keeper::Fetch(Entry& entry, TimePoint now) {
+void IdempotencyReplica::Fetch(Entry& entry, TimePoint now) {
   if (!std::exchange(entry.fetching, true)) {
     entry.total = 0;
     entry.first_missing = 0;
@@ -355,13 +356,13 @@
   entry.ask_at = now + AskEvery() + Duration(static_cast<std::int64_t>(window_s * 1e6));
 }
 
-void Keeper::StopFetch(Entry& entry) {
+void IdempotencyReplica::StopFetch(Entry& entry) {
   if (!std::exchange(entry.fetching, false)) return;
-  ledger_.DropAnswer(entry);
+  store_.DropAnswer(entry);
 }
 
 // A peer remembers our own earlier life at work on this key.
-void Keeper::TakeOver(Entry& entry, const VoteRecord& vote, TimePoint now) {
+void IdempotencyReplica::TakeOver(Entry& entry, const VoteRecord& vote, TimePoint now) {
   entry.state = State::kUnknown;
   entry.applied = Applied(vote.phase);
   entry.has_pod = vote.has_pod != 0;
@@ -370,14 +371,14 @@
   Resume(entry, now);
 }
 
-void Keeper::Withdraw(const Entry& entry, int except, TimePoint now) {
+void IdempotencyReplica::Withdraw(const Entry& entry, int except, TimePoint now) {
   const OutcomeRecord record{.key = entry.key, .round = entry.own_round, .released = 1};
   for (const int rank : entry.asked) {
     if (rank != except) peers_.Queue(rank, record, false, now);
   }
 }
 
-void Keeper::TellOutcome(const Entry& entry, Phase phase, TimePoint now) {
+void IdempotencyReplica::TellOutcome(const Entry& entry, Phase phase, TimePoint now) {
   const OutcomeRecord record{.key = entry.key,
                              .round = entry.own_round,
                              .released = 0,
@@ -386,62 +387,64 @@
   for (const int rank : entry.interested) peers_.Queue(rank, record, false, now);
 }
 
-void Keeper::Refuse(Entry& entry, TimePoint now) {
+void IdempotencyReplica::Refuse(Entry& entry, TimePoint now) {
   if (limits_.when_full == WhenFull::kPass) {
     counts_.full_passed += entry.waiters.size();
-    for (const Waiter& waiter : ledger_.TakeWaiters(entry))
-      Act(Pass{waiter.id, waiter.work, waiter.deadline});
+    for (const Waiter& waiter : store_.TakeWaiters(entry))
+      Act(StartUnprotected{waiter.id, waiter.work, waiter.deadline});
   } else {
     counts_.full_deferred += entry.waiters.size();
     DeferAll(entry, kFullRetry);
   }
   Withdraw(entry, -1, now);
-  ledger_.Remove(entry);
+  store_.Remove(entry);
 }
 
 // ---- Final answers ----
 
-void Keeper::EndWaiter(const Waiter& waiter, Action answer) {
-  if (waiter.gone) return Act(Forget{waiter.id});
+void IdempotencyReplica::EndWaiter(const Waiter& waiter, Action answer) {
+  if (waiter.gone) return Act(ReleaseRequest{waiter.id});
   Act(std::move(answer));
 }
 
-void Keeper::FailOne(const Waiter& waiter, FailReason reason) {
-  if (reason == FailReason::kUnknown) ++counts_.unknown_told;
-  if (reason == FailReason::kAnswerGone) ++counts_.answer_gone_told;
-  if (reason == FailReason::kOther) ++counts_.mismatched;
-  EndWaiter(waiter, Fail{waiter.id, reason});
+void IdempotencyReplica::FailOne(const Waiter& waiter, FailureReason reason) {
+  if (reason == FailureReason::kUnknown) ++counts_.unknown_told;
+  if (reason == FailureReason::kAnswerGone) ++counts_.answer_gone_told;
+  if (reason == FailureReason::kOther) ++counts_.mismatched;
+  EndWaiter(waiter, FailRequest{waiter.id, reason});
 }
 
-void Keeper::ServeAll(Entry& entry, std::string value) {
+void IdempotencyReplica::ServeAll(Entry& entry, std::string value) {
   const auto shared = std::make_shared<const std::string>(std::move(value));
-  for (const Waiter& waiter : ledger_.TakeWaiters(entry)) EndWaiter(waiter, Serve{waiter.id, shared});
+  for (const Waiter& waiter : store_.TakeWaiters(entry))
+    EndWaiter(waiter, CompleteRequest{waiter.id, shared});
 }
 
-void Keeper::DeferAll(Entry& entry, Duration retry_after) {
-  for (const Waiter& waiter : ledger_.TakeWaiters(entry)) EndWaiter(waiter, Defer{waiter.id, retry_after});
+void IdempotencyReplica::DeferAll(Entry& entry, Duration retry_after) {
+  for (const Waiter& waiter : store_.TakeWaiters(entry))
+    EndWaiter(waiter, RejectWithRetryAfter{waiter.id, retry_after});
 }
 
-void Keeper::FailAll(Entry& entry, FailReason reason) {
-  for (const Waiter& waiter : ledger_.TakeWaiters(entry)) FailOne(waiter, reason);
+void IdempotencyReplica::FailAll(Entry& entry, FailureReason reason) {
+  for (const Waiter& waiter : store_.TakeWaiters(entry)) FailOne(waiter, reason);
 }
 
 // Each waiter has an end of its own; only the one whose request runs has it from the module.
-bool Keeper::EndPatience(Entry& entry, TimePoint now) {
+bool IdempotencyReplica::EndTimeout(Entry& entry, TimePoint now) {
   for (std::size_t i = entry.waiters.size(); i-- > 0;) {
     const Waiter waiter = entry.waiters[i];
     if (waiter.deadline > now || (entry.state == State::kRunning && waiter.id == entry.running)) continue;
-    ledger_.RemoveWaiter(entry, waiter.id);
+    store_.RemoveWaiter(entry, waiter.id);
     if (entry.state == State::kAsking) {
-      EndWaiter(waiter, Defer{waiter.id, kSoonRetry});  // nothing was sent
+      EndWaiter(waiter, RejectWithRetryAfter{waiter.id, kSoonRetry});  // nothing was sent
     } else {
-      FailOne(waiter, entry.applied ? FailReason::kAnswerGone : FailReason::kUnknown);
+      FailOne(waiter, entry.applied ? FailureReason::kAnswerGone : FailureReason::kUnknown);
     }
   }
   if (!entry.waiters.empty()) return true;
   if (entry.state == State::kAsking) {
     Withdraw(entry, -1, now);
-    ledger_.Remove(entry);
+    store_.Remove(entry);
     return false;
   }
   StopFetch(entry);
@@ -450,7 +453,7 @@
 
 // ---- Time ----
 
-void Keeper::File(Entry& entry) {
+void IdempotencyReplica::File(Entry& entry) {
   const bool runs = entry.state == State::kRunning;
   TimePoint due = runs ? TimePoint::max() : entry.ends;
   for (const Waiter& waiter : entry.waiters) {
@@ -459,18 +462,18 @@
   const bool asks =
       entry.state == State::kAsking || (entry.state == State::kElsewhere && !entry.waiters.empty());
   if (asks) due = std::min(due, entry.ask_at);
-  ledger_.SetDue(entry, due);
+  store_.SetDue(entry, due);
 }
 
-Actions Keeper::Tick(TimePoint now) {
+Actions IdempotencyReplica::Tick(TimePoint now) {
   actions_.clear();
-  while (Entry* entry = ledger_.First()) {
+  while (Entry* entry = store_.First()) {
     if (entry->due > now) break;
-    if (!EndPatience(*entry, now)) continue;
+    if (!EndTimeout(*entry, now)) continue;
     if (entry->state != State::kRunning && now >= entry->ends) {
-      FailAll(*entry, FailReason::kUnknown);
+      FailAll(*entry, FailureReason::kUnknown);
       if (entry->state == State::kAsking) Withdraw(*entry, -1, now);
-      ledger_.Remove(*entry);
+      store_.Remove(*entry);
       continue;
     }
     if (entry->state == State::kAsking && now >= entry->ask_at) {
@@ -489,32 +492,32 @@
   return Done(now);
 }
 
-std::optional<TimePoint> Keeper::NextTick() {
+std::optional<TimePoint> IdempotencyReplica::NextTick() {
   std::optional<TimePoint> out = peers_.NextFlush();
-  if (const Entry* first = ledger_.First()) out = std::min(out.value_or(TimePoint::max()), first->due);
+  if (const Entry* first = store_.First()) out = std::min(out.value_or(TimePoint::max()), first->due);
   return out == TimePoint::max() ? std::nullopt : out;
 }
 
-Actions Keeper::Done(TimePoint now) {
+Actions IdempotencyReplica::Done(TimePoint now) {
   peers_.Flush(now, [this](int rank, std::string bytes) {
     ++counts_.datagrams_out;
-    Act(Tell{rank, std::move(bytes)});
+    Act(SendDatagram{rank, std::move(bytes)});
   });
   return actions_;
 }
 
-const Counts& Keeper::counts() {
+const Counts& IdempotencyReplica::counts() {
   counts_.records_dropped = peers_.dropped();
-  counts_.values_dropped = ledger_.values_dropped() + values_unkept_;
+  counts_.values_dropped = store_.values_dropped() + values_unkept_;
   return counts_;
 }
 
-// ---- Between gatekeepers ----
+// ---- Between gateways ----
 
-Actions Keeper::Received(int from, std::string_view datagram, TimePoint now) {
+Actions IdempotencyReplica::Received(int from, std::string_view datagram, TimePoint now) {
   actions_.clear();
   const std::optional<Datagram> read = DecodeDatagram(datagram);
-  if (!read || read->header.rank != from || !peers_.Heard(read->header.rank, read->header.life, now)) {
+  if (!read || read->header.rank != from || !peers_.Heard(read->header.rank, read->header.incarnation, now)) {
     ++counts_.datagrams_bad;
     return Done(now);
   }
@@ -525,32 +528,32 @@
   return Done(now);
 }
 
-bool Keeper::GoesFirst(const KeyId& key, int rank) const {
-  const auto place = [](int r) { return static_cast<std::uint64_t>(r) << 8 | kRankPlace; };
-  return Rendezvous(key, place(rank)) > Rendezvous(key, place(place_.rank));
+bool IdempotencyReplica::GoesFirst(const KeyId& key, int rank) const {
+  const auto identity = [](int r) { return static_cast<std::uint64_t>(r) << 8 | kRankPlace; };
+  return Rendezvous(key, identity(rank)) > Rendezvous(key, identity(identity_.rank));
 }
 
-RankSet Keeper::Witnesses(const Entry& entry, TimePoint now) const {
-  if (!place_.has_peers) return {};
+RankSet IdempotencyReplica::Replicas(const Entry& entry, TimePoint now) const {
+  if (!identity_.has_peers) return {};
   const Work& work = entry.waiters.front().work;
-  const int size = std::min(place_.group_size, kMaxPeers);
+  const int size = std::min(identity_.group_size, kMaxPeers);
   std::vector<std::pair<std::uint64_t, int>> order;
   for (int i = 0; i < std::min<int>(work.spread, size); ++i) {
     const int rank = (work.first + i) % size;
-    if (rank != place_.rank && peers_.Away(rank, now)) continue;
+    if (rank != identity_.rank && peers_.Away(rank, now)) continue;
     order.emplace_back(Rendezvous(entry.key, static_cast<std::uint64_t>(rank) << 8 | kRankPlace), rank);
   }
   std::sort(order.rbegin(), order.rend());
   if (order.size() > limits_.witnesses) order.resize(limits_.witnesses);
   RankSet out;
   for (const auto& [score, rank] : order) {
-    if (rank != place_.rank) out.Add(rank);
+    if (rank != identity_.rank) out.Add(rank);
   }
   return out;
 }
 
-// By weighted rendezvous: each pod gets keys by its ready next hops, and a change moves only what it must.
-std::optional<Pod> Keeper::HomePod(const KeyId& key) const {
+// By weighted rendezvous: each pod gets keys by its ready upstreams, and a change moves only what it must.
+std::optional<Pod> IdempotencyReplica::HomePod(const KeyId& key) const {
   std::optional<Pod> out;
   double best = 0;
   for (const Pod& pod : pods_) {
@@ -563,23 +566,23 @@
   return out;
 }
 
-Duration Keeper::AskEvery() const {
+Duration IdempotencyReplica::AskEvery() const {
   const double seconds = kAskEveryDatagrams / static_cast<double>(limits_.datagrams_per_second);
   return std::max(kLeastAskEvery, Duration(static_cast<std::int64_t>(seconds * 1e6)));
 }
 
-Verdict Keeper::Clear(TimePoint now) const {
+Verdict IdempotencyReplica::Clear(TimePoint now) const {
   return Recovering(now) ? Verdict::kClearFresh : Verdict::kClear;
 }
 
 // When the work began that the vote tells of, at the latest: the vote is younger than our question. Taken
 // from the time it came, its way here would make the pod's window look longer than it is, and a change was
 // applied twice at the window's edge.
-TimePoint Keeper::SentBy(const Entry& entry, const VoteRecord& vote) const {
+TimePoint IdempotencyReplica::SentBy(const Entry& entry, const VoteRecord& vote) const {
   return entry.own_asked - milliseconds(vote.age_ms + 1);
 }
 
-ClaimRecord Keeper::ToClaim(const Entry& entry) const {
+ClaimRecord IdempotencyReplica::ToClaim(const Entry& entry) const {
   return {.key = entry.key,
           .fingerprint = entry.fingerprint,
           .customer = entry.customer,
@@ -589,22 +592,22 @@
           .window_ms = ToMs(entry.window)};
 }
 
-VoteRecord Keeper::ToHeld(const Entry& entry, std::uint32_t round, TimePoint now) const {
+VoteRecord IdempotencyReplica::ToHeld(const Entry& entry, std::uint32_t round, TimePoint now) const {
   const bool elsewhere = entry.state == State::kElsewhere;
   return {.key = entry.key,
           .round = round,
           .verdict = Verdict::kHeld,
           .mark = elsewhere ? entry.round : entry.own_round,
-          .holder = elsewhere ? entry.holder : static_cast<std::uint16_t>(place_.rank),
-          .holder_life = elsewhere ? entry.holder_life : place_.life,
+          .holder = elsewhere ? entry.holder : static_cast<std::uint16_t>(identity_.rank),
+          .holder_incarnation = elsewhere ? entry.holder_incarnation : identity_.incarnation,
           .phase = PhaseOf(entry),
           .has_pod = entry.has_pod,
           .pod = entry.pod,
           .age_ms = ToMs(now - entry.sent)};
 }
 
-void Keeper::On(int from, const ClaimRecord& claim, TimePoint now) {
-  const std::uint64_t life = peers_.Life(from);
+void IdempotencyReplica::On(int from, const ClaimRecord& claim, TimePoint now) {
+  const std::uint64_t incarnation = peers_.Incarnation(from);
   const auto vote = [&](Verdict verdict) {
     const VoteRecord record{.key = claim.key, .round = claim.round, .verdict = verdict, .mark = next_round_};
     peers_.Queue(from, record, false, now);
@@ -614,7 +617,7 @@
     entry.phase = Phase::kRunning;
     entry.applied = entry.following = false;
     entry.holder = static_cast<std::uint16_t>(from);
-    entry.holder_life = life;
+    entry.holder_incarnation = incarnation;
     entry.round = claim.round;
     entry.has_pod = claim.has_pod != 0;
     entry.pod = claim.pod;
@@ -622,16 +625,17 @@
     entry.sent = now;
     entry.ends = now + limits_.keep;
   };
-  Entry* const entry = ledger_.Find(claim.key);
+  Entry* const entry = store_.Find(claim.key);
   if (entry == nullptr) {
-    Entry* const added = ledger_.Add(claim.key, claim.customer);
+    Entry* const added = store_.Add(claim.key, claim.customer);
     if (added == nullptr) return vote(Verdict::kFull);
     added->fingerprint = claim.fingerprint;
     note(*added);
     File(*added);
     return vote(Clear(now));
   }
-  if (entry->state == State::kElsewhere && entry->holder == from && entry->holder_life == life) {
+  if (entry->state == State::kElsewhere && entry->holder == from &&
+      entry->holder_incarnation == incarnation) {
     if (claim.round < entry->round) return;  // late: a newer one has come already
     if (entry->fingerprint != claim.fingerprint) return vote(Verdict::kOther);
     // One that came before is not noted again: its work may have begun since, and the pod's window with it.
@@ -646,7 +650,7 @@
     // Both ask: the one that goes first by the key has it, and we follow.
     Withdraw(*entry, from, now);
     if (!same) {
-      FailAll(*entry, FailReason::kOther);
+      FailAll(*entry, FailureReason::kOther);
       entry->fingerprint = claim.fingerprint;
     }
     note(*entry);
@@ -659,8 +663,8 @@
   peers_.Queue(from, ToHeld(*entry, claim.round, now), false, now);
 }
 
-void Keeper::On(int from, const VoteRecord& vote, TimePoint now) {
-  Entry* const entry = ledger_.Find(vote.key);
+void IdempotencyReplica::On(int from, const VoteRecord& vote, TimePoint now) {
+  Entry* const entry = store_.Find(vote.key);
   if (entry == nullptr || vote.round != entry->own_round) return;
   bool stays = true;
   if (entry->state == State::kAsking) {
@@ -671,7 +675,7 @@
   if (stays) File(*entry);
 }
 
-bool Keeper::OnVoteAsking(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
+bool IdempotencyReplica::OnVoteAsking(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
   switch (vote.verdict) {
     case Verdict::kClear:
     case Verdict::kClearFresh:
@@ -679,9 +683,9 @@
       entry.vouched = entry.vouched || vote.verdict == Verdict::kClear;
       return Settle(entry, now);
     case Verdict::kOther:
-      FailAll(entry, FailReason::kOther);
+      FailAll(entry, FailureReason::kOther);
       Withdraw(entry, from, now);
-      ledger_.Remove(entry);
+      store_.Remove(entry);
       return false;
     case Verdict::kFull:
       Refuse(entry, now);
@@ -689,10 +693,10 @@
     case Verdict::kHeld:
       break;
   }
-  const bool our_own = vote.holder == place_.rank;
+  const bool our_own = vote.holder == identity_.rank;
   const bool cleared = vote.holder != from && vote.holder == entry.cleared_holder &&
-                       vote.holder_life == entry.cleared_life && vote.mark < entry.cleared_mark;
-  if ((our_own && vote.holder_life == place_.life) || cleared) {
+                       vote.holder_incarnation == entry.cleared_incarnation && vote.mark < entry.cleared_mark;
+  if ((our_own && vote.holder_incarnation == identity_.incarnation) || cleared) {
     // A claim that was withdrawn, by the later word of the one who made it.
     entry.pending.Remove(from);
     return Settle(entry, now);
@@ -704,7 +708,7 @@
   Withdraw(entry, from, now);
   entry.state = State::kElsewhere;
   entry.holder = vote.holder;
-  entry.holder_life = vote.holder_life;
+  entry.holder_incarnation = vote.holder_incarnation;
   entry.round = 0;
   entry.phase = vote.phase;
   entry.applied = Applied(vote.phase);
@@ -715,17 +719,17 @@
   return OnVoteFollowing(entry, from, vote, now);
 }
 
-bool Keeper::OnVoteFollowing(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
+bool IdempotencyReplica::OnVoteFollowing(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
   switch (vote.verdict) {
     case Verdict::kClear:
     case Verdict::kClearFresh:
-      if (peers_.Life(from) != entry.holder_life) return AskHolder(entry, now);  // it is lost
+      if (peers_.Incarnation(from) != entry.holder_incarnation) return AskHolder(entry, now);  // it is lost
       entry.cleared_holder = entry.holder;
-      entry.cleared_life = entry.holder_life;
+      entry.cleared_incarnation = entry.holder_incarnation;
       entry.cleared_mark = vote.mark;
       return AskPeers(entry, now);
     case Verdict::kOther:
-      FailAll(entry, FailReason::kOther);
+      FailAll(entry, FailureReason::kOther);
       return true;
     case Verdict::kFull:
       DeferAll(entry, kFullRetry);
@@ -733,8 +737,8 @@
     case Verdict::kHeld:
       break;
   }
-  if (vote.holder == place_.rank) {
-    if (vote.holder_life != place_.life) {
+  if (vote.holder == identity_.rank) {
+    if (vote.holder_incarnation != identity_.incarnation) {
       TakeOver(entry, vote, now);
       return true;
     }
@@ -745,7 +749,7 @@
   entry.sent = SentBy(entry, vote);
   entry.phase = vote.phase;
   entry.holder = vote.holder;
-  entry.holder_life = vote.holder_life;
+  entry.holder_incarnation = vote.holder_incarnation;
   entry.applied = Applied(vote.phase);
   if (vote.holder != from || vote.phase == Phase::kRunning) {
     entry.ask_at = now + kFollowEvery;
@@ -757,16 +761,17 @@
   return true;
 }
 
-void Keeper::On(int from, const OutcomeRecord& outcome, TimePoint now) {
-  Entry* const entry = ledger_.Find(outcome.key);
+void IdempotencyReplica::On(int from, const OutcomeRecord& outcome, TimePoint now) {
+  Entry* const entry = store_.Find(outcome.key);
   if (entry == nullptr || entry->state != State::kElsewhere) return;
-  if (entry->holder != from || entry->holder_life != peers_.Life(from) || outcome.round < entry->round)
+  if (entry->holder != from || entry->holder_incarnation != peers_.Incarnation(from) ||
+      outcome.round < entry->round)
     return;
   StopFetch(*entry);
   if (outcome.released != 0) {
-    if (entry->waiters.empty()) return ledger_.Remove(*entry);
+    if (entry->waiters.empty()) return store_.Remove(*entry);
     entry->cleared_holder = entry->holder;
-    entry->cleared_life = entry->holder_life;
+    entry->cleared_incarnation = entry->holder_incarnation;
     entry->cleared_mark = outcome.round == kAnyRound ? entry->round + 1 : outcome.round + 1;
     if (AskPeers(*entry, now)) File(*entry);
     return;
@@ -782,8 +787,8 @@
   File(*entry);
 }
 
-void Keeper::On(int from, const FetchRecord& fetch, TimePoint now) {
-  const Entry* const entry = ledger_.Find(fetch.key);
+void IdempotencyReplica::On(int from, const FetchRecord& fetch, TimePoint now) {
+  const Entry* const entry = store_.Find(fetch.key);
   if (entry == nullptr || entry->state != State::kAnswered || !entry->has_value) {
     OutcomeRecord outcome{.key = fetch.key, .round = kAnyRound, .released = 1};
     if (entry != nullptr) {
@@ -806,14 +811,14 @@
   }
 }
 
-void Keeper::On(int from, const FragmentRecord& fragment, TimePoint now) {
-  Entry* const entry = ledger_.Find(fragment.key);
+void IdempotencyReplica::On(int from, const FragmentRecord& fragment, TimePoint now) {
+  Entry* const entry = store_.Find(fragment.key);
   if (entry == nullptr || entry->state != State::kElsewhere || !entry->fetching || entry->holder != from)
     return;
   if (fragment.total == 0 || fragment.total > kMaxAnswer) return;
   if (entry->total == 0) {
     entry->total = fragment.total;
-    if (!ledger_.Reserve(*entry, fragment.total)) {
+    if (!store_.Reserve(*entry, fragment.total)) {
       // No room to put it together. It was carried out: the pod may give the answer, nobody else can.
       Resume(*entry, now);
       return File(*entry);
@@ -833,7 +838,7 @@
     entry->fetching = false;
     entry->applied = true;
     entry->asked.Add(from);
-    ledger_.MarkAnswered(*entry);
+    store_.MarkAnswered(*entry);
     ServeAll(*entry, std::string(entry->answer));
   } else if (missing >= window_end) {
     entry->first_missing = missing;
--- a/src/idempotency/keeper.h
+++ b/src/idempotency/replica.h
@@ -3,9 +3,9 @@
 // in the time, carries out the actions, and tells what came of them. docs/idempotency-design.md weighs the
 // ways; docs/idempotency.md is the operators' page.
 //
-// Promise: of all requests under one key that reach the gatekeepers of a group within `keep` of the first,
+// Promise: of all requests under one key that reach the gateways of a group within `keep` of the first,
 // no two are sent where both could be applied, as long as (a) the one that holds the key or one that was
-// asked about it lives, and (b) the next hops of a pod drop repeats for the window that the class names.
+// asked about it lives, and (b) the upstreams of a pod drop repeats for the window that the class names.
 // What holds when each of these fails is in docs/idempotency.md.
 //
 // State table of a key (all other pairs change nothing):
@@ -34,8 +34,8 @@
 //                                                        holder is gone: as unknown; knows nothing: asking
 //   any        another request's key          same       Fail(other)
 //   all but running: `keep` is over           -          forgotten
-#ifndef POSTSPREAD_IDEMPOTENCY_KEEPER_H_
-#define POSTSPREAD_IDEMPOTENCY_KEEPER_H_
+#ifndef POSTSPREAD_IDEMPOTENCY_REPLICA_H_
+#define POSTSPREAD_IDEMPOTENCY_REPLICA_H_
 
 #include <cstdint>
 #include <optional>
@@ -45,9 +45,9 @@
 #include <utility>
 #include <vector>
 
-#include "idempotency/ledger.h"
 #include "idempotency/limits.h"
 #include "idempotency/peers.h"
+#include "idempotency/store.h"
 #include "idempotency/types.h"
 
 namespace postspread::idempotency {
@@ -55,43 +55,43 @@
 // The actions hold until the next call.
 using Actions = std::span<const Action>;
 
-class Keeper {
+class IdempotencyReplica {
  public:
-  struct Place {
+  struct Identity {
     int rank = 0;
     int group_size = 1;
-    bool has_peers = false;  // datagrams can be sent to them
-    std::uint64_t life = 0;  // higher than at any earlier start
+    bool has_peers = false;         // datagrams can be sent to them
+    std::uint64_t incarnation = 0;  // higher than at any earlier start
   };
-  Keeper(const Limits& limits, Place place, TimePoint now);
+  IdempotencyReplica(const Limits& limits, Identity identity, TimePoint now);
 
   // Takes on new limits, but for `enabled` and `memory`.
   void SetLimits(const Limits& limits);
   // See Peers::SetView.
   void SetView(std::vector<Peers::Seen> view) { peers_.SetView(std::move(view)); }
 
-  // The pods that the roster shows now.
+  // The pods that the endpoint list shows now.
   void SetPods(std::vector<Pod> pods) { pods_ = std::move(pods); }
 
   Actions Begin(const Ask& ask, TimePoint now);
   // The work begun by Start for this waiter is over; `value` with kServed; `retry_after` with kRefused.
-  Actions Ended(WaiterId waiter, End end, std::string value, Duration retry_after, TimePoint now);
+  Actions OnWorkFinished(WaiterId waiter, End end, std::string value, Duration retry_after, TimePoint now);
   // Whether this waiter's request runs under a key, so that its end is wanted here.
   bool Runs(WaiterId waiter);
   // Whether this waiter's request runs or waits here.
-  bool Holds(WaiterId waiter) { return ledger_.FindByWaiter(waiter) != nullptr; }
+  bool IsTracking(WaiterId waiter) { return store_.FindByWaiter(waiter) != nullptr; }
   // Nobody waits for this waiter's answer any more.
-  Actions WaiterGone(WaiterId waiter, TimePoint now);
+  Actions OnClientDisconnect(WaiterId waiter, TimePoint now);
   // A datagram has come from the peer of this rank.
   Actions Received(int from, std::string_view datagram, TimePoint now);
   Actions Tick(TimePoint now);
   std::optional<TimePoint> NextTick();
 
   const Counts& counts();
-  std::size_t used() const { return ledger_.used(); }
-  std::size_t peak() const { return ledger_.peak(); }
-  std::size_t bound() const { return ledger_.bound(); }
-  std::size_t size() const { return ledger_.size(); }
+  std::size_t used() const { return store_.used(); }
+  std::size_t peak() const { return store_.peak(); }
+  std::size_t bound() const { return store_.bound(); }
+  std::size_t size() const { return store_.size(); }
 
  private:
   void Act(Action action) { actions_.push_back(std::move(action)); }
@@ -110,14 +110,14 @@
   void TakeOver(Entry& entry, const VoteRecord& vote, TimePoint now);
   void Withdraw(const Entry& entry, int except, TimePoint now);
   void TellOutcome(const Entry& entry, Phase phase, TimePoint now);
-  bool EndPatience(Entry& entry, TimePoint now);
+  bool EndTimeout(Entry& entry, TimePoint now);
   void Refuse(Entry& entry, TimePoint now);  // no room for it: by when_full
 
   void ServeAll(Entry& entry, std::string value);
   void DeferAll(Entry& entry, Duration retry_after);
-  void FailAll(Entry& entry, FailReason reason);
+  void FailAll(Entry& entry, FailureReason reason);
   void EndWaiter(const Waiter& waiter, Action answer);
-  void FailOne(const Waiter& waiter, FailReason reason);
+  void FailOne(const Waiter& waiter, FailureReason reason);
   void File(Entry& entry);  // under the time at which it wants attention next
 
   void On(int from, const ClaimRecord& claim, TimePoint now);
@@ -131,9 +131,9 @@
   bool Recovering(TimePoint now) const { return now - start_ < limits_.keep; }
   bool GoesFirst(const KeyId& key, int rank) const;
   bool Lost(const Entry& entry, TimePoint now) const;  // its holder is away, or not in that life any more
-  // The others of the customer's gatekeepers that are to note the key down, as bits: of those that live, the
+  // The others of the customer's gateways that are to note the key down, as bits: of those that live, the
   // first by rendezvous, this one counted too. All that ask for a key ask the same ones.
-  RankSet Witnesses(const Entry& entry, TimePoint now) const;
+  RankSet Replicas(const Entry& entry, TimePoint now) const;
   std::optional<Pod> HomePod(const KeyId& key) const;
   Duration AskEvery() const;
   Verdict Clear(TimePoint now) const;
@@ -142,9 +142,9 @@
   VoteRecord ToHeld(const Entry& entry, std::uint32_t round, TimePoint now) const;
 
   Limits limits_;
-  Place place_;
+  Identity identity_;
   TimePoint start_;
-  Ledger ledger_;
+  IdempotencyStore store_;
   Peers peers_;
   std::vector<Pod> pods_;
   std::vector<Action> actions_;
@@ -155,4 +155,4 @@
 
 }  // namespace postspread::idempotency
 
-#endif  // POSTSPREAD_IDEMPOTENCY_KEEPER_H_
+#endif  // POSTSPREAD_IDEMPOTENCY_REPLICA_H_
--- a/src/idempotency/ledger.cpp
+++ b/src/idempotency/store.cpp
@@ -1,4 +1,4 @@
-#include "idempotency/ledger.h"
+#include "idempotency/store.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -33,7 +33,7 @@
   std::pmr::new_delete_resource()->deallocate(block, bytes, alignment);
 }
 
-Ledger::Ledger(std::size_t memory, double share)
+IdempotencyStore::IdempotencyStore(std::size_t memory, double share)
     : limit_(memory),
       share_(share),
       max_entries_(memory / (kEntryBytes + kBucketBytes)),
@@ -48,31 +48,31 @@
   customers_.reserve(max_entries_);
 }
 
-std::size_t Ledger::BytesPerKey() { return kEntryBytes + kBucketBytes; }
+std::size_t IdempotencyStore::BytesPerKey() { return kEntryBytes + kBucketBytes; }
 
-Entry* Ledger::Find(const KeyId& key) {
+Entry* IdempotencyStore::Find(const KeyId& key) {
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-Entry* Ledger::FindByWaiter(WaiterId waiter) {
+Entry* IdempotencyStore::FindByWaiter(WaiterId waiter) {
   const auto found = waiters_.find(waiter);
   return found == waiters_.end() ? nullptr : Find(found->second);
 }
 
-std::size_t Ledger::CustomerBytes(std::uint32_t customer) const {
+std::size_t IdempotencyStore::CustomerBytes(std::uint32_t customer) const {
   const auto found = customers_.find(customer);
   return found == customers_.end() ? 0 : found->second;
 }
 
-void Ledger::Charge(Entry& entry, std::ptrdiff_t bytes) {
+void IdempotencyStore::Charge(Entry& entry, std::ptrdiff_t bytes) {
   std::size_t& held = customers_[entry.customer];
   held = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(held) + bytes);
   if (held == 0) customers_.erase(entry.customer);
 }
 
 // Drops answers, the longest answered first, until so many bytes fit.
-bool Ledger::Room(std::size_t bytes) {
+bool IdempotencyStore::Room(std::size_t bytes) {
   while (memory_.used() + bytes > limit_) {
     if (answered_.empty()) return false;
     DropAnswer(*Find(answered_.begin()->second));
@@ -80,7 +80,7 @@
   return true;
 }
 
-bool Ledger::RoomOf(std::uint32_t customer, std::size_t bytes) {
+bool IdempotencyStore::RoomOf(std::uint32_t customer, std::size_t bytes) {
   const auto most = static_cast<std::size_t>(share_ * static_cast<double>(limit_));
   while (CustomerBytes(customer) + bytes > most) {
     const auto first = answered_of_.lower_bound({customer, TimePoint::min(), KeyId{}});
@@ -90,7 +90,7 @@
   return true;
 }
 
-Entry* Ledger::Add(const KeyId& key, std::uint32_t customer) {
+Entry* IdempotencyStore::Add(const KeyId& key, std::uint32_t customer) {
   if (entries_.size() >= max_entries_ || !RoomOf(customer, kEntryBytes) || !Room(kEntryBytes)) return nullptr;
   Entry& entry = entries_.try_emplace(key, &memory_).first->second;
   entry.key = key;
@@ -99,7 +99,7 @@
   return &entry;
 }
 
-void Ledger::Remove(Entry& entry) {
+void IdempotencyStore::Remove(Entry& entry) {
   for (const Waiter& waiter : entry.waiters) waiters_.erase(waiter.id);
   Charge(entry,
          -static_cast<std::ptrdiff_t>(entry.waiters.capacity() * (sizeof(Waiter) + kWaiterIndexBytes)));
@@ -109,7 +109,7 @@
   entries_.erase(entry.key);
 }
 
-bool Ledger::AddWaiter(Entry& entry, const Waiter& waiter) {
+bool IdempotencyStore::AddWaiter(Entry& entry, const Waiter& waiter) {
   constexpr std::size_t kEach = sizeof(Waiter) + kWaiterIndexBytes;
   if (waiters_.size() >= max_entries_) return false;
   const std::size_t capacity = entry.waiters.capacity();
@@ -128,12 +128,12 @@
   return true;
 }
 
-void Ledger::RemoveWaiter(Entry& entry, WaiterId waiter) {
+void IdempotencyStore::RemoveWaiter(Entry& entry, WaiterId waiter) {
   std::erase_if(entry.waiters, [waiter](const Waiter& w) { return w.id == waiter; });
   waiters_.erase(waiter);
 }
 
-std::pmr::vector<Waiter> Ledger::TakeWaiters(Entry& entry) {
+std::pmr::vector<Waiter> IdempotencyStore::TakeWaiters(Entry& entry) {
   std::pmr::vector<Waiter> out(&memory_);
   Charge(entry,
          -static_cast<std::ptrdiff_t>(entry.waiters.capacity() * (sizeof(Waiter) + kWaiterIndexBytes)));
@@ -142,7 +142,7 @@
   return out;
 }
 
-bool Ledger::Reserve(Entry& entry, std::size_t size) {
+bool IdempotencyStore::Reserve(Entry& entry, std::size_t size) {
   if (entry.answer.capacity() >= size) return true;
   ReleaseAnswer(entry);
   if (!RoomOf(entry.customer, size + kBlock) || !Room(size + kBlock)) return false;
@@ -151,7 +151,7 @@
   return true;
 }
 
-void Ledger::ReleaseAnswer(Entry& entry) {
+void IdempotencyStore::ReleaseAnswer(Entry& entry) {
   static const std::size_t kInside = std::pmr::string().capacity();  // within the string itself
   if (entry.state == State::kAnswered && entry.has_value) {
     answered_.erase({entry.sent, entry.key});
@@ -164,25 +164,25 @@
   entry.has_value = false;
 }
 
-void Ledger::DropAnswer(Entry& entry) {
+void IdempotencyStore::DropAnswer(Entry& entry) {
   if (entry.has_value) ++values_dropped_;
   ReleaseAnswer(entry);
 }
 
-void Ledger::MarkAnswered(Entry& entry) {
+void IdempotencyStore::MarkAnswered(Entry& entry) {
   entry.state = State::kAnswered;
   entry.has_value = true;
   answered_.emplace(entry.sent, entry.key);
   answered_of_.emplace(entry.customer, entry.sent, entry.key);
 }
 
-void Ledger::SetDue(Entry& entry, TimePoint due) {
+void IdempotencyStore::SetDue(Entry& entry, TimePoint due) {
   if (entry.due == due && due.count() != 0) return;
   due_.erase({entry.due, entry.key});
   entry.due = due;
   due_.emplace(due, entry.key);
 }
 
-Entry* Ledger::First() { return due_.empty() ? nullptr : Find(due_.begin()->second); }
+Entry* IdempotencyStore::First() { return due_.empty() ? nullptr : Find(due_.begin()->second); }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/ledger.h
+++ b/src/idempotency/store.h
@@ -2,11 +2,11 @@
 // and answers, with what the allocator adds to each block. `used()` never passes the limit, whatever comes.
 //
 // What makes room, in this order: nothing else is ever thrown out before its time.
-//   1. keys whose time is over (the keeper ends them at once);
+//   1. keys whose time is over (the replica ends them at once);
 //   2. the answers of the longest answered keys: the key stays, and a repeat is still recognised. A customer
 //      at its share makes room with its own answers, else all with all.
-#ifndef POSTSPREAD_IDEMPOTENCY_LEDGER_H_
-#define POSTSPREAD_IDEMPOTENCY_LEDGER_H_
+#ifndef POSTSPREAD_IDEMPOTENCY_STORE_H_
+#define POSTSPREAD_IDEMPOTENCY_STORE_H_
 
 #include <array>
 #include <cstddef>
@@ -75,7 +75,7 @@
   TimePoint due{0};     // its place in the index of times
   Duration window{0};
   WaiterId running = 0;  // kRunning: whose request is out
-  // Between gatekeepers:
+  // Between gateways:
   std::uint32_t own_round = 0;  // of our last question ...
   TimePoint own_asked{0};       // ... and when it first went out
   std::uint32_t round = 0;      // kElsewhere: of the holder's claim
@@ -83,11 +83,11 @@
   RankSet asked;                // those that may have noted our claim down
   RankSet interested;           // those that asked about it: they are told how it ends
   std::uint16_t holder = 0;     // kElsewhere
-  std::uint64_t holder_life = 0;
+  std::uint64_t holder_incarnation = 0;
   Phase phase = Phase::kRunning;  // kElsewhere: what the holder last said
   std::uint16_t cleared_holder =
-      0xffff;                      // said itself, in the life below, that it holds nothing: what others
-  std::uint64_t cleared_life = 0;  // remember of its claims before this round is out of date
+      0xffff;  // said itself, in the life below, that it holds nothing: what others
+  std::uint64_t cleared_incarnation = 0;  // remember of its claims before this round is out of date
   std::uint32_t cleared_mark = 0;
   std::uint32_t total = 0;          // fetching: bytes of the whole answer; 0: not known yet
   std::uint16_t first_missing = 0;  // fetching: fragment
@@ -98,12 +98,12 @@
   explicit Entry(std::pmr::memory_resource* memory) : waiters(memory), answer(memory) {}
 };
 
-class Ledger {
+class IdempotencyStore {
  public:
   // `memory` bytes in all; `share` of them for one customer at most.
-  Ledger(std::size_t memory, double share);
-  Ledger(const Ledger&) = delete;
-  Ledger& operator=(const Ledger&) = delete;
+  IdempotencyStore(std::size_t memory, double share);
+  IdempotencyStore(const IdempotencyStore&) = delete;
+  IdempotencyStore& operator=(const IdempotencyStore&) = delete;
 
   void SetShare(double share) { share_ = share; }
 
@@ -160,4 +160,4 @@
 
 }  // namespace postspread::idempotency
 
-#endif  // POSTSPREAD_IDEMPOTENCY_LEDGER_H_
+#endif  // POSTSPREAD_IDEMPOTENCY_STORE_H_
--- a/src/idempotency/types.h
+++ b/src/idempotency/types.h
@@ -1,4 +1,4 @@
-// What goes into the keeper of keys and what comes out of it: plain values.
+// What goes into the replica of keys and what comes out of it: plain values.
 #ifndef POSTSPREAD_IDEMPOTENCY_TYPES_H_
 #define POSTSPREAD_IDEMPOTENCY_TYPES_H_
 
@@ -31,11 +31,11 @@
   std::size_t operator()(const KeyId& key) const { return static_cast<std::size_t>(key.low); }
 };
 
-// What the caller needs to begin the work on a waiter's behalf; the keeper only holds it.
+// What the caller needs to begin the work on a waiter's behalf; the replica only holds it.
 struct Work {
   std::array<char, 16> customer{};
   std::int16_t class_index = 0, plan_index = 0;
-  std::int16_t spread = 1, first = 0;  // the customer's gatekeepers: so many in a row from this number
+  std::int16_t spread = 1, first = 0;  // the customer's gateways: so many in a row from this number
   float units = 1;
   bool is_retry = false;
 };
@@ -47,15 +47,15 @@
   std::uint64_t fingerprint = 0;  // of all that must be the same in a repeat
   std::uint32_t customer = 0;     // a hash of the customer's name
   TimePoint deadline{0};          // its final answer must have left by then
-  Duration window{0};             // for so long from a send the next hops that share keys drop repeats
+  Duration window{0};             // for so long from a send the upstreams that share keys drop repeats
   bool pinned = false;            // these are a part of them only, a pod; else all
   Work work;
 };
 
-// The next hops that share keys, as far as the roster tells.
+// The upstreams that share keys, as far as the endpoint list tells.
 struct Pod {
   std::int64_t id = 0;
-  std::size_t ready = 0;  // next hops that take something new
+  std::size_t ready = 0;  // upstreams that take something new
 };
 
 // Where the work on a key may go.
@@ -68,49 +68,50 @@
 
 // ---- Actions, to be carried out at once, in order.
 
-// Begin the work of this waiter's request; tell how it ended by Keeper::Ended.
-struct Start {
+// Begin the work of this waiter's request; tell how it ended by Keeper::OnWorkFinished.
+struct StartRequest {
   WaiterId waiter = 0;
   Work work;
   TimePoint deadline{0};
   Pin pin;
 };
 // Begin it without protection: the store is full and the operator has chosen so. Nothing is told of its end.
-struct Pass {
+struct StartUnprotected {
   WaiterId waiter = 0;
   Work work;
   TimePoint deadline{0};
 };
 // Final answers.
-struct Serve {
+struct CompleteRequest {
   WaiterId waiter = 0;
   std::shared_ptr<const std::string> value;
 };
-struct Defer {  // this request was not begun and asking again is harmless
+struct RejectWithRetryAfter {  // this request was not begun and asking again is harmless
   WaiterId waiter = 0;
   Duration retry_after{0};
 };
-enum class FailReason {
+enum class FailureReason {
   kUnknown,     // it may have been carried out
   kOther,       // the key belongs to another request
   kAnswerGone,  // it was carried out; its answer is held no longer
 };
-struct Fail {
+struct FailRequest {
   WaiterId waiter = 0;
-  FailReason reason = FailReason::kUnknown;
+  FailureReason reason = FailureReason::kUnknown;
 };
 // Nobody needs this waiter's request any more; follows its final answer where the work outlived it.
-struct Forget {
+struct ReleaseRequest {
   WaiterId waiter = 0;
 };
-struct Tell {  // a datagram of at most kMaxDatagram bytes
+struct SendDatagram {  // a datagram of at most kMaxDatagram bytes
   int rank = 0;
   std::string bytes;
 };
-struct Note {  // a line for the log
+struct LogEvent {  // a line for the log
   std::string line;
 };
-using Action = std::variant<Start, Pass, Serve, Defer, Fail, Forget, Tell, Note>;
+using Action = std::variant<StartRequest, StartUnprotected, CompleteRequest, RejectWithRetryAfter,
+                            FailRequest, ReleaseRequest, SendDatagram, LogEvent>;
 
 // How the work on a key ended.
 enum class End {
--- a/src/idempotency/wire.cpp
+++ b/src/idempotency/wire.cpp
@@ -75,7 +75,7 @@
   } else if constexpr (std::is_same_v<T, VoteRecord>) {
     code(record.key), code(record.round), code(record.verdict), code(record.mark);
     if (record.verdict != Verdict::kHeld) return;
-    code(record.holder), code(record.holder_life), code(record.phase);
+    code(record.holder), code(record.holder_incarnation), code(record.phase);
     code(record.has_pod), code(record.pod), code(record.age_ms);
   } else if constexpr (std::is_same_v<T, OutcomeRecord>) {
     code(record.key), code(record.round), code(record.released), code(record.phase), code(record.age_ms);
@@ -119,7 +119,7 @@
   Writer writer;
   writer.out = kMagic;
   writer(header.rank);
-  writer(header.life);
+  writer(header.incarnation);
   std::string sealed = writer.out.substr(kMagic.size());
   sealed += records;
   writer(Checksum(sealed));
@@ -133,10 +133,10 @@
   Datagram out;
   std::uint32_t checksum = 0;
   reader(out.header.rank);
-  reader(out.header.life);
+  reader(out.header.incarnation);
   reader(checksum);
   if (!reader.sound) return std::nullopt;
-  std::string sealed(bytes.substr(kMagic.size(), sizeof out.header.rank + sizeof out.header.life));
+  std::string sealed(bytes.substr(kMagic.size(), sizeof out.header.rank + sizeof out.header.incarnation));
   sealed += reader.rest;
   if (Checksum(sealed) != checksum) return std::nullopt;
   while (!reader.rest.empty()) {
--- a/src/idempotency/wire.h
+++ b/src/idempotency/wire.h
@@ -1,4 +1,4 @@
-// Datagrams between the keepers of one group: a header and records, 256 bytes at most. Numbers are
+// Datagrams between the replicas of one group: a header and records, 256 bytes at most. Numbers are
 // little-endian. A datagram that is cut, of another version or spoilt (checksum) is refused whole.
 //
 //   header  "PSK" 2 | rank u16 | life u64 | checksum u32 of all behind it          18 bytes
@@ -17,7 +17,7 @@
 
 namespace postspread::idempotency {
 
-// What a gatekeeper says of a key that it holds.
+// What a gateway says of a key that it holds.
 enum class Phase : std::uint8_t { kRunning, kAnswered, kAnsweredNoValue, kUnknown };
 
 // "May I run this?" The one who asks has it pinned to `pod` already.
@@ -48,7 +48,7 @@
   std::uint32_t mark = 0;
   // With kHeld:
   std::uint16_t holder = 0;
-  std::uint64_t holder_life = 0;
+  std::uint64_t holder_incarnation = 0;
   Phase phase = Phase::kRunning;
   std::uint8_t has_pod = 0;
   std::int64_t pod = 0;
@@ -89,7 +89,7 @@
 
 struct Header {
   std::uint16_t rank = 0;
-  std::uint64_t life = 0;  // higher with each start
+  std::uint64_t incarnation = 0;  // higher with each start
 };
 
 inline constexpr std::size_t kHeaderBytes = 18;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// postspread's gatekeeper: wiring, signals and exit codes.
+// postspread's gateway: wiring, signals and exit codes.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -15,7 +15,7 @@
 
 #include "config/config.h"
 #include "membership/types.h"
-#include "net/gatekeeper.h"
+#include "net/gateway_server.h"
 #include "net/log.h"
 #include "net/loop.h"
 #include "operator/operator_file.h"
@@ -51,7 +51,7 @@
 
 std::string Joined(const std::vector<std::string>& words) {
   std::string out;
-  for (const std::string& word : words) out += (out.empty() ? "" : ", ") + word;
+  for (const std::string& update : words) out += (out.empty() ? "" : ", ") + update;
   return out;
 }
 
@@ -79,7 +79,7 @@
   return operator_file::Load(options.operator_path);
 }
 
-void CheckPlace(const char* key, const std::string& text) {
+void CheckPeerAddress(const char* key, const std::string& text) {
   const std::optional<config::Address> address = config::Address::Parse(text);
   if (address && address->get()->sa_family == AF_INET) return;
   throw config::ConfigError(std::string(key) + " is \"" + text + "\": an IPv4 address and port are wanted");
@@ -87,14 +87,14 @@
 
 // What neither file shows by itself.
 void CheckTogether(const config::Config& config, const operator_file::OperatorFile& operators) {
-  const postspread::membership::Limits& fleet = operators.fleet;
-  if (fleet.enabled) {
+  const postspread::membership::Limits& membership = operators.membership;
+  if (membership.enabled) {
     if (config.name.empty() || config.name.size() > postspread::membership::kMaxName) {
       throw config::ConfigError("\"name\" is longer than the view of the fleet takes: 1 to 31 bytes");
     }
-    for (const std::string& place : fleet.seeds) CheckPlace("fleet.seeds", place);
-    if (!fleet.listen.empty()) CheckPlace("fleet.listen", fleet.listen);
-    if (fleet.listen.empty() && !config::ToPeers(config)) {
+    for (const std::string& peer : membership.seeds) CheckPeerAddress("fleet.seeds", peer);
+    if (!membership.listen.empty()) CheckPeerAddress("fleet.listen", membership.listen);
+    if (membership.listen.empty() && !config::ToPeers(config)) {
       throw config::ConfigError(
           "fleet.enabled needs \"peer_listen\", \"peers\" and settings that allow messages, or fleet.listen");
     }
@@ -109,39 +109,39 @@
 }
 
 // Only in the build that tests use to see that they tell: the defence that the environment switches off.
-postspread::membership::Without Switched() {
-  using postspread::membership::Without;
+postspread::membership::DisabledDefense Switched() {
+  using postspread::membership::DisabledDefense;
 #ifdef POSTSPREAD_SWITCHES
-  const std::map<std::string, Without> words{{"refutation", Without::kRefutation},
-                                             {"lives", Without::kLives},
-                                             {"local-health", Without::kLocalHealth},
-                                             {"asking-again", Without::kAskingAgain},
-                                             {"order", Without::kOrder},
-                                             {"budget", Without::kBudget},
-                                             {"knocking", Without::kKnocking},
-                                             {"help", Without::kHelp}};
-  const char* word = Variable("POSTSPREAD_WITHOUT");
-  if (word != nullptr) return words.at(word);
+  const std::map<std::string, DisabledDefense> words{{"refutation", DisabledDefense::kRefutation},
+                                                     {"lives", DisabledDefense::kIncarnations},
+                                                     {"local-health", DisabledDefense::kLocalHealth},
+                                                     {"asking-again", DisabledDefense::kAskingAgain},
+                                                     {"order", DisabledDefense::kOrder},
+                                                     {"budget", DisabledDefense::kBudget},
+                                                     {"knocking", DisabledDefense::kKnocking},
+                                                     {"help", DisabledDefense::kHelp}};
+  const char* update = Variable("POSTSPREAD_WITHOUT");
+  if (update != nullptr) return words.at(update);
 #endif
-  return Without::kNothing;
+  return DisabledDefense::kNothing;
 }
 
 struct Program {
   const Options& options;
-  std::optional<net::Gatekeeper> gatekeeper;
+  std::optional<net::GatewayServer> gateway;
 };
 
 // Both files are decoded whole first: where one is wrong, all stays as it is.
 void Reload(Program& program) {
   try {
-    const config::Config config = config::Reload(Variable, program.gatekeeper->config());
+    const config::Config config = config::Reload(Variable, program.gateway->config());
     const operator_file::OperatorFile operators = ReadOperatorFile(program.options);
     CheckTogether(config, operators);
-    const bool more = program.gatekeeper->Reload(config, operators);
+    const bool more = program.gateway->Reload(config, operators);
     net::Log("configuration read again", Partners(config));
     if (more) net::Log("configuration changed beyond that", "the rest holds from the next start on");
   } catch (const std::exception& error) {
-    program.gatekeeper->ReloadFailed();
+    program.gateway->ReloadFailed();
     net::Log("new configuration is wrong, the old one stays", error.what());
   }
 }
@@ -153,7 +153,7 @@
   // Caught before the file is read, so that no signal ends the program or is missed on the way up: the loop
   // calls back only once it runs.
   const auto on_stop = [](evutil_socket_t, short, void* self) {
-    static_cast<Program*>(self)->gatekeeper->Stop();
+    static_cast<Program*>(self)->gateway->Stop();
   };
   const auto on_reload = [](evutil_socket_t, short, void* self) { Reload(*static_cast<Program*>(self)); };
   const net::EventHandle term(evsignal_new(base.get(), SIGTERM, on_stop, &program));
@@ -166,7 +166,7 @@
   const config::Config config = config::Load(Variable);
   const operator_file::OperatorFile operators = ReadOperatorFile(options);
   CheckTogether(config, operators);
-  program.gatekeeper.emplace(base.get(), config, operators, Switched());
+  program.gateway.emplace(base.get(), config, operators, Switched());
   net::Log("started", config.name + " on " + config.listen.text());
   net::Log("admin listener", config.ops ? config.ops->text() : "none is configured");
   LogUnknown(config);
@@ -187,7 +187,7 @@
 
 int main(int argc, char** argv) {
   Options options;
-  CLI::App app("The gatekeeper. ROUTER_CONFIG names the platform's configuration.", "postspread_gatekeeper");
+  CLI::App app("The gateway. ROUTER_CONFIG names the platform's configuration.", "postspread_gateway");
   app.add_option("--operator", options.operator_path, "The operator file; without it all in it is off")
       ->type_name("FILE");
   app.add_flag("--check", options.check_only, "Read and check all configuration, then end");
--- a/src/membership/fleet.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "membership/fleet.h"
+#include "membership/membership.h"
 
 #include <algorithm>
 #include <bit>
@@ -24,9 +24,9 @@
 constexpr std::size_t kToldAtLeave = 8;
 constexpr double kToldFactor = 1.2;  // times log2 of the members: how often a word is told by each
 constexpr int kToldOfFill = 2;
-constexpr std::size_t kRecent = 4;      // words that changed last go first where views differ
-constexpr std::size_t kMostWords = 24;  // in a datagram of 256 bytes are some 15; more are not sorted for
-constexpr int kMostHealth = 2;          // suspicions take up to three times as long
+constexpr std::size_t kRecent = 4;       // words that changed last go first where views differ
+constexpr std::size_t kMaxUpdates = 24;  // in a datagram of 256 bytes are some 15; more are not sorted for
+constexpr int kMostHealth = 2;           // suspicions take up to three times as long
 constexpr int kDeafPeriods = 2;
 constexpr int kDeafAsks = 3;
 constexpr int kAsksLive = 2;  // periods after which an answer is none any more
@@ -37,29 +37,29 @@
 constexpr int kUnsettledPeriods = 3;
 constexpr std::size_t kDiffered = 8;  // pairs of hashes remembered, so that a lasting difference is quiet
 // Of the datagrams that may be sent, what must be left for those that go before them.
-constexpr double kLeft[] = {0, 0.15, 0.3, 0.5};      // by Rank
-constexpr milliseconds kFutureLife{24 * 3'600'000};  // clocks of one fleet do not differ by more
-constexpr std::uint32_t kMostIncarnation = (1U << 30) - 1;
+constexpr double kLeft[] = {0, 0.15, 0.3, 0.5};             // by Rank
+constexpr milliseconds kFutureIncarnation{24 * 3'600'000};  // clocks of one fleet do not differ by more
+constexpr std::uint32_t kMaxRefutations = (1U << 30) - 1;
 constexpr milliseconds kNoteEvery{10'000};
 
 std::uint16_t Spot(std::uint64_t digest) { return static_cast<std::uint16_t>(digest >> 48); }
 
 }  // namespace
 
-Fleet::Fleet(Self self, std::vector<Place> seeds, const Limits& limits, std::uint64_t seed, TimePoint now,
-             Without without)
+Membership::Membership(Self self, std::vector<PeerId> seeds, const Limits& limits, std::uint64_t seed,
+                       TimePoint now, DisabledDefense disabled)
     : self_(std::move(self)),
       seeds_(std::move(seeds)),
       limits_(limits),
-      without_(without),
+      without_(disabled),
       random_(seed),
-      fleet_(DigestFleet(limits.name)),
+      fleet_(DigestGroup(limits.name)),
       tokens_(limits.datagrams_per_second),
       filled_(now) {
-  std::erase(seeds_, self_.place);
+  std::erase(seeds_, self_.peer);
   own_.name = self_.name;
   own_.digest = DigestMember(self_.name, 0);
-  own_.place = self_.place;
+  own_.peer = self_.peer;
   own_.since = now;
   next_number_ = random_() >> 24;
   last_answer_ = now;
@@ -71,7 +71,7 @@
   Count(PartOf(own_.digest), 0, Share(own_));
 }
 
-void Fleet::SetLimits(const Limits& limits) {
+void Membership::SetLimits(const Limits& limits) {
   const Limits before = std::exchange(limits_, limits);
   // What the datagrams and places go by stays as it was at the start.
   limits_.name = before.name;
@@ -81,15 +81,15 @@
 
 // ---- What is sent, within the budget ----
 
-void Fleet::Refill(TimePoint now) {
+void Membership::Refill(TimePoint now) {
   if (now <= filled_) return;
   const double seconds = std::chrono::duration<double>(now - filled_).count();
   tokens_ = std::min(limits_.datagrams_per_second, tokens_ + seconds * limits_.datagrams_per_second);
   filled_ = now;
 }
 
-bool Fleet::MaySend(Rank rank) {
-  if (without_ == Without::kBudget) return true;
+bool Membership::MaySend(Rank rank) {
+  if (without_ == DisabledDefense::kBudget) return true;
   if (tokens_ < 1 + kLeft[static_cast<std::size_t>(rank)] * limits_.datagrams_per_second) {
     ++counts_.held_back;
     return false;
@@ -98,7 +98,7 @@
   return true;
 }
 
-bool Fleet::Send(Place to, Rank rank, const Draft& draft) {
+bool Membership::Send(PeerId to, Rank rank, const Draft& draft) {
   if (superseded_ || !MaySend(rank)) return false;
   Message head;
   head.kind = draft.kind;
@@ -106,15 +106,15 @@
   head.view = static_cast<std::uint32_t>(hash_);
   head.from = draft.from;
   if (draft.kind == Kind::kExchange) head.parts = Parts();
-  head.sender = {self_.name, 0, own_.word, true};
+  head.sender = {self_.name, 0, own_.update, true};
   if (draft.target != nullptr)
-    head.target = {draft.target->name, draft.target->place, draft.target->word, false};
+    head.target = {draft.target->name, draft.target->peer, draft.target->update, false};
   Writer writer(fleet_, head, limits_.datagram);
-  if (draft.about != nullptr) writer.Add(draft.about->name, draft.about->place, draft.about->word, false);
+  if (draft.about != nullptr) writer.Add(draft.about->name, draft.about->peer, draft.about->update, false);
   if (draft.news && !queue_.empty()) {
     // Those told least often first, and of these the newest: it goes out at once however much is on its way.
-    if (without_ != Without::kOrder) {
-      const auto most = static_cast<std::ptrdiff_t>(std::min(queue_.size(), kMostWords));
+    if (without_ != DisabledDefense::kOrder) {
+      const auto most = static_cast<std::ptrdiff_t>(std::min(queue_.size(), kMaxUpdates));
       std::partial_sort(queue_.begin(), queue_.begin() + most, queue_.end(),
                         [](const Known* a, const Known* b) {
                           return a->told != b->told ? a->told < b->told : a->since > b->since;
@@ -122,7 +122,7 @@
     }
     for (Known* known : queue_) {
       if (known == draft.about) continue;
-      if (!writer.Add(known->name, known->place, known->word, true)) break;
+      if (!writer.Add(known->name, known->peer, known->update, true)) break;
       ++known->told;
     }
     std::erase_if(queue_, [most = MostTold()](Known* k) {
@@ -142,9 +142,9 @@
 }
 
 // Adds words on members in the order of their digests, and round again; returns where it came to.
-std::uint16_t Fleet::Fill(Writer& writer, std::uint16_t from, const PartHashes* unlike) {
+std::uint16_t Membership::Fill(Writer& writer, std::uint16_t from, const PartHashes* unlike) {
   Refresh();
-  for (const Known* known : recent_) writer.Add(known->name, known->place, known->word, false);
+  for (const Known* known : recent_) writer.Add(known->name, known->peer, known->update, false);
   auto at = std::lower_bound(by_digest_.begin(), by_digest_.end(), from,
                              [](const Known* k, std::uint16_t spot) { return Spot(k->digest) < spot; });
   const PartHashes own = Parts();
@@ -152,12 +152,12 @@
     if (at == by_digest_.end()) at = by_digest_.begin();
     const std::size_t part = PartOf((*at)->digest);
     if (unlike != nullptr && (*unlike)[part] == own[part]) continue;
-    if (!writer.Add((*at)->name, (*at)->place, (*at)->word, false)) return Spot((*at)->digest);
+    if (!writer.Add((*at)->name, (*at)->peer, (*at)->update, false)) return Spot((*at)->digest);
   }
   return from;
 }
 
-bool Fleet::Ping(Purpose purpose, Place to, const Known* whom, TimePoint now, const Ask* relay) {
+bool Membership::Ping(Purpose purpose, PeerId to, const Known* whom, TimePoint now, const Ask* relay) {
   const bool exchange = purpose == Purpose::kSync || purpose == Purpose::kLook;
   Draft draft;
   draft.kind = exchange ? Kind::kExchange : Kind::kPing;
@@ -173,7 +173,7 @@
   if (relay != nullptr) ask = *relay;
   ask.purpose = purpose;
   if (whom != nullptr) ask.name = whom->name;
-  ask.place = to;
+  ask.peer = to;
   ask.at = now;
   ask.want = want;
   asks_.emplace(next_number_++, std::move(ask));
@@ -183,66 +183,66 @@
 }
 
 // Others are asked to ask for it: the way between the two of us may be what is broken.
-void Fleet::AskFor(const Known& member, std::size_t helpers, TimePoint now) {
-  if (without_ == Without::kHelp) return;
+void Membership::AskFor(const Known& member, std::size_t helpers, TimePoint now) {
+  if (without_ == DisabledDefense::kHelp) return;
   for (const Known* helper : Several(helpers, member.name)) {
     Draft draft;
     draft.kind = Kind::kAskFor;
     draft.number = next_number_;
     draft.target = &member;
-    if (!Send(helper->place, member.accused ? Rank::kKnock : Rank::kAsk, draft)) return;
-    asks_.emplace(next_number_++, Ask{Purpose::kHelp, member.name, helper->place, now});
+    if (!Send(helper->peer, member.accused ? Rank::kKnock : Rank::kAsk, draft)) return;
+    asks_.emplace(next_number_++, Ask{Purpose::kHelp, member.name, helper->peer, now});
     ++unanswered_;
   }
 }
 
-void Fleet::Tell(Known& member, int told) {
+void Membership::Tell(Known& member, int told) {
   member.told = told;
   if (member.queued) return;
   member.queued = true;
   queue_.push_back(&member);
 }
 
-void Fleet::TellOfSelf() {
-  own_.word.life = self_.life;
+void Membership::TellOfSelf() {
+  own_.update.incarnation = self_.incarnation;
   Tell(own_, 0);
 }
 
 // How often a word is told on. Where there are more than fit into a datagram or two, others tell them as well
 // and exchanges find what is missing: they would else be told for longer than they are new.
-int Fleet::MostTold() {
+int Membership::MostTold() {
   Refresh();
   const double most = kToldFactor * static_cast<double>(std::bit_width(living_.size() + 1)) + 2;
-  const double crowd = std::max(1.0, static_cast<double>(queue_.size()) / kMostWords);
+  const double crowd = std::max(1.0, static_cast<double>(queue_.size()) / kMaxUpdates);
   return std::max(2, static_cast<int>(most / crowd));
 }
 
 // ---- Members ----
 
-Fleet::Known* Fleet::Find(std::string_view name) {
+Membership::Known* Membership::Find(std::string_view name) {
   const auto found = members_.find(name);
   return found == members_.end() ? nullptr : &found->second;
 }
 
-void Fleet::Erase(const std::string& name) {
+void Membership::Erase(const std::string& name) {
   const auto found = members_.find(name);
   if (found == members_.end()) return;
   std::erase(queue_, &found->second);
   std::erase(by_digest_, &found->second);
   stale_ = lost_stale_ = true;
   // Asked again for ever: the other side of a cut may come back after any time.
-  if (found->second.word.state == State::kDead) {
+  if (found->second.update.state == State::kDead) {
     if (former_.size() >= kMaxMembers) former_.pop_front();
-    former_.push_back(found->second.place);
+    former_.push_back(found->second.peer);
   }
   members_.erase(found);
 }
 
-bool Fleet::MakeRoom() {
+bool Membership::MakeRoom() {
   if (members_.size() + 1 < kMaxMembers) return true;
   const Known* oldest = nullptr;
   for (const auto& [name, known] : members_) {
-    if (!Lives(known.word.state) && (oldest == nullptr || known.since < oldest->since)) oldest = &known;
+    if (!IsLive(known.update.state) && (oldest == nullptr || known.since < oldest->since)) oldest = &known;
   }
   if (oldest == nullptr) return false;
   Erase(std::string(oldest->name));
@@ -250,11 +250,11 @@
 }
 
 // What is looked up often, made anew after a change of who lives or where.
-void Fleet::Refresh() {
+void Membership::Refresh() {
   if (!std::exchange(stale_, false)) return;
   living_.clear();
   for (auto& [name, known] : members_) {
-    if (Lives(known.word.state)) living_.push_back(&known);
+    if (IsLive(known.update.state)) living_.push_back(&known);
   }
   recent_ = by_digest_;
   const auto most = static_cast<std::ptrdiff_t>(std::min(recent_.size(), kRecent));
@@ -263,14 +263,14 @@
   recent_.resize(static_cast<std::size_t>(most));
 }
 
-const std::vector<Place>& Fleet::Lost() {
+const std::vector<PeerId>& Membership::Lost() {
   if (!std::exchange(lost_stale_, false)) return lost_;
-  std::set<Place> taken{self_.place};
-  std::set<Place> lost(seeds_.begin(), seeds_.end());
+  std::set<PeerId> taken{self_.peer};
+  std::set<PeerId> lost(seeds_.begin(), seeds_.end());
   lost.insert(former_.begin(), former_.end());
   for (const auto& [name, known] : members_) {
-    if (Lives(known.word.state)) taken.insert(known.place);
-    if (known.word.state == State::kDead) lost.insert(known.place);
+    if (IsLive(known.update.state)) taken.insert(known.peer);
+    if (known.update.state == State::kDead) lost.insert(known.peer);
   }
   lost_.clear();
   std::set_difference(lost.begin(), lost.end(), taken.begin(), taken.end(), std::back_inserter(lost_));
@@ -278,29 +278,29 @@
 }
 
 // A member's part of the hash: nothing where it does not live.
-std::uint64_t Fleet::Share(const Known& member) const {
-  return Lives(member.word.state) ? DigestMember(member.name, member.word.life) : 0;
+std::uint64_t Membership::Share(const Known& member) const {
+  return IsLive(member.update.state) ? DigestMember(member.name, member.update.incarnation) : 0;
 }
 
-void Fleet::Count(std::size_t part, std::uint64_t before, std::uint64_t after) {
+void Membership::Count(std::size_t part, std::uint64_t before, std::uint64_t after) {
   if (before == after) return;
   hash_ ^= before ^ after;
   parts_[part] ^= before ^ after;
   ++counts_.view_changes;
 }
 
-PartHashes Fleet::Parts() const {
+PartHashes Membership::Parts() const {
   PartHashes out;
   std::transform(parts_.begin(), parts_.end(), out.begin(),
                  [](std::uint64_t p) { return static_cast<std::uint16_t>(p); });
   return out;
 }
 
-State Fleet::StateOf(const Known& known) const {
-  return known.accused && known.word.state == State::kAlive ? State::kSuspect : known.word.state;
+State Membership::StateOf(const Known& known) const {
+  return known.accused && known.update.state == State::kAlive ? State::kSuspect : known.update.state;
 }
 
-std::vector<Fleet::Known*> Fleet::Several(std::size_t count, std::string_view except) {
+std::vector<Membership::Known*> Membership::Several(std::size_t count, std::string_view except) {
   Refresh();
   std::vector<Known*> out;
   for (Known* known : living_) {
@@ -312,35 +312,35 @@
   return out;
 }
 
-View Fleet::view() const {
+View Membership::view() const {
   View out{counts_.view_changes, hash_, {}};
-  out.members.push_back({own_.name, own_.place, own_.word, own_.since});
+  out.members.push_back({own_.name, own_.peer, own_.update, own_.since});
   for (const auto& [name, known] : members_) {
-    out.members.push_back({name, known.place, known.word, known.since});
-    out.members.back().word.state = StateOf(known);
+    out.members.push_back({name, known.peer, known.update, known.since});
+    out.members.back().update.state = StateOf(known);
   }
   std::sort(out.members.begin(), out.members.end(),
             [](const Member& a, const Member& b) { return a.name < b.name; });
   return out;
 }
 
-std::optional<Word> Fleet::At(Place place) const {
-  std::optional<Word> out;
+std::optional<MemberUpdate> Membership::At(PeerId peer) const {
+  std::optional<MemberUpdate> out;
   for (const auto& [name, known] : members_) {
-    if (known.place != place || (out && out->life >= known.word.life)) continue;
-    out = known.word;
+    if (known.peer != peer || (out && out->incarnation >= known.update.incarnation)) continue;
+    out = known.update;
     out->state = StateOf(known);
   }
   return out;
 }
 
-void Fleet::Become(Known& member, const Word& word, bool by_self, bool news, TimePoint now) {
-  const std::uint64_t share = member.word.life == 0 ? 0 : Share(member);
+void Membership::Become(Known& member, const MemberUpdate& update, bool by_self, bool news, TimePoint now) {
+  const std::uint64_t share = member.update.incarnation == 0 ? 0 : Share(member);
   const State state = StateOf(member);
-  const Word before = std::exchange(member.word, word);
-  const bool is_new = before.life != word.life;
+  const MemberUpdate before = std::exchange(member.update, update);
+  const bool is_new = before.incarnation != update.incarnation;
   if (is_new) member.falls = 0;
-  if (!is_new && before.state == State::kDead && word.state == State::kAlive) {
+  if (!is_new && before.state == State::kDead && update.state == State::kAlive) {
     member.falls = std::min(member.falls + 1, kMostFalls);
     member.fell_at = now;
   }
@@ -349,25 +349,26 @@
   // filling.
   if (news) {
     Tell(member, 0);
-  } else if (before.life != 0) {
+  } else if (before.incarnation != 0) {
     Tell(member, std::max(0, MostTold() - kToldOfFill));
   }
-  if (!is_new && before.state == word.state) return;
+  if (!is_new && before.state == update.state) return;
   member.since = now;
-  changes_.push_back({member.name, word.life, state, word.state, is_new, by_self});
+  changes_.push_back({member.name, update.incarnation, state, update.state, is_new, by_self});
   Count(PartOf(member.digest), share, Share(member));
   stale_ = lost_stale_ = true;
 }
 
 // ---- What is said of members ----
 
-void Fleet::Hear(const Entry& entry, bool direct, Place from, TimePoint now) {
-  if (entry.word.life == 0) {
+void Membership::Hear(const Entry& entry, bool direct, PeerId from, TimePoint now) {
+  if (entry.update.incarnation == 0) {
     ++counts_.unreadable;
     return;
   }
   if (entry.name == self_.name) return HearOfSelf(entry, now);
-  if (milliseconds(entry.word.life) > std::chrono::duration_cast<milliseconds>(now) + kFutureLife) {
+  if (milliseconds(entry.update.incarnation) >
+      std::chrono::duration_cast<milliseconds>(now) + kFutureIncarnation) {
     ++counts_.future;
     return;
   }
@@ -380,34 +381,36 @@
     known = &members_[entry.name];
     known->name = entry.name;
     known->digest = DigestMember(entry.name, 0);
-    known->place = direct ? from : entry.place;
+    known->peer = direct ? from : entry.peer;
     // Below any word, so that whatever is said holds.
     by_digest_.insert(std::upper_bound(by_digest_.begin(), by_digest_.end(), known,
                                        [](const Known* a, const Known* b) { return a->digest < b->digest; }),
                       known);
-    return Become(*known, entry.word, false, entry.news, now);
+    return Become(*known, entry.update, false, entry.news, now);
   }
-  Word word = entry.word;
-  if (without_ == Without::kLives) word.life = known->word.life;
-  const bool newer_life = word.life > known->word.life;
-  if (direct && word.life < known->word.life && from != known->place && Lives(known->word.state)) {
+  MemberUpdate update = entry.update;
+  if (without_ == DisabledDefense::kIncarnations) update.incarnation = known->update.incarnation;
+  const bool newer_incarnation = update.incarnation > known->update.incarnation;
+  if (direct && update.incarnation < known->update.incarnation && from != known->peer &&
+      IsLive(known->update.state)) {
     ++counts_.name_conflicts;
     Note("two processes are named \"" + known->name + "\": the one started later counts", now);
   }
-  if (!(known->word < word)) return;
-  if (direct || newer_life) known->place = direct ? from : entry.place;
-  Become(*known, word, false, entry.news, now);
+  if (!(known->update < update)) return;
+  if (direct || newer_incarnation) known->peer = direct ? from : entry.peer;
+  Become(*known, update, false, entry.news, now);
 }
 
-void Fleet::HearOfSelf(const Entry& entry, TimePoint now) {
+void Membership::HearOfSelf(const Entry& entry, TimePoint now) {
   if (left_) return;
-  if (entry.word.life > self_.life) {
-    if (entry.place != self_.place) {
+  if (entry.update.incarnation > self_.incarnation) {
+    if (entry.peer != self_.peer) {
       ++counts_.name_conflicts;
       return Note("another process is named \"" + self_.name + "\", as this one is, and was started later",
                   now);
     }
-    if (milliseconds(entry.word.life) > std::chrono::duration_cast<milliseconds>(now) + kFutureLife) {
+    if (milliseconds(entry.update.incarnation) >
+        std::chrono::duration_cast<milliseconds>(now) + kFutureIncarnation) {
       ++counts_.future;
       return;
     }
@@ -417,30 +420,30 @@
       return;
     }
     // Nobody else stands here: it is what an earlier start of ours left, on a clock that was ahead.
-    self_.life = entry.word.life + 1;
+    self_.incarnation = entry.update.incarnation + 1;
     const std::uint64_t share = Share(own_);
-    own_.word = {self_.life, 0, State::kAlive};
+    own_.update = {self_.incarnation, 0, State::kAlive};
     ++counts_.own_refutations;
     TellOfSelf();
     return Count(PartOf(own_.digest), share, Share(own_));
   }
-  if (entry.word.life < self_.life || !(own_.word < entry.word)) return;
-  if (without_ == Without::kRefutation) return;
-  if (entry.word.incarnation >= kMostIncarnation) {
+  if (entry.update.incarnation < self_.incarnation || !(own_.update < entry.update)) return;
+  if (without_ == DisabledDefense::kRefutation) return;
+  if (entry.update.refutations >= kMaxRefutations) {
     const std::uint64_t share = Share(own_);
-    own_.word = {++self_.life, 0, State::kAlive};
+    own_.update = {++self_.incarnation, 0, State::kAlive};
     Count(PartOf(own_.digest), share, Share(own_));
   } else {
-    own_.word.incarnation = entry.word.incarnation + 1;
+    own_.update.refutations = entry.update.refutations + 1;
   }
   ++counts_.own_refutations;
-  if (without_ != Without::kLocalHealth) health_ = std::min(health_ + 1, kMostHealth);
+  if (without_ != DisabledDefense::kLocalHealth) health_ = std::min(health_ + 1, kMostHealth);
   TellOfSelf();
 }
 
 // ---- Datagrams that come ----
 
-bool Fleet::Received(Place from, std::string_view bytes, TimePoint now) {
+bool Membership::Received(PeerId from, std::string_view bytes, TimePoint now) {
   Message message;
   const Fault fault = Read(bytes, fleet_, message);
   if (fault == Fault::kNotOurs) return false;
@@ -454,10 +457,10 @@
   Refill(now);
   if (superseded_) return true;
   Known* before = Find(message.sender.name);
-  const bool former =
-      without_ != Without::kLives && before != nullptr && message.sender.word.life < before->word.life;
-  if (former && from == before->place) {
-    ++counts_.former_life;
+  const bool former = without_ != DisabledDefense::kIncarnations && before != nullptr &&
+                      message.sender.update.incarnation < before->update.incarnation;
+  if (former && from == before->peer) {
+    ++counts_.former_incarnation;
     // It may be a new start on a clock that was stepped back: it learns only so that it has to count on.
     TellOfItself(*before, from, now);
     return true;
@@ -483,18 +486,18 @@
   }
   Known* sender = Find(message.sender.name);
   // One that sends, and of whom worse is said, is told so at once: only itself can deny it.
-  if (sender != nullptr && !former && sender->word.state == State::kDead) TellOfItself(*sender, from, now);
+  if (sender != nullptr && !former && sender->update.state == State::kDead) TellOfItself(*sender, from, now);
   return true;
 }
 
-void Fleet::TellOfItself(Known& member, Place at, TimePoint now) {
+void Membership::TellOfItself(Known& member, PeerId at, TimePoint now) {
   if (now - member.informed_at < Beat()) return;
   member.informed_at = now;
   Ping(Purpose::kLook, at, &member, now);
 }
 
 // Whether the sender's view differs; where that is new, more is told for a while.
-bool Fleet::Differs(std::uint32_t view, TimePoint now) {
+bool Membership::Differs(std::uint32_t view, TimePoint now) {
   const auto own = static_cast<std::uint32_t>(hash_);
   if (view == own) return false;
   differed_at_ = now;
@@ -508,34 +511,34 @@
 }
 
 // Lately, be it for the same reason as long before.
-bool Fleet::Differed(TimePoint now) const {
+bool Membership::Differed(TimePoint now) const {
   return differed_at_.count() != 0 && now - differed_at_ < kUnsettledPeriods * Duration(limits_.period);
 }
 
-void Fleet::TakePing(Place from, const Message& message, bool differs, TimePoint now) {
+void Membership::TakePing(PeerId from, const Message& message, bool differs, TimePoint now) {
   Draft draft;
   draft.kind = Kind::kAck;
   draft.number = message.number;
   // Worse is said of the sender than it says itself: it hears so first.
   const Known* sender = Find(message.sender.name);
-  if (sender != nullptr && sender->word > message.sender.word) draft.about = sender;
+  if (sender != nullptr && sender->update > message.sender.update) draft.about = sender;
   if (differs || Differed(now)) draft.fill = message.kind == Kind::kExchange ? message.from : fill_from_;
   if (message.kind == Kind::kExchange) draft.unlike = &message.parts;
   Send(from, message.kind == Kind::kPing ? Rank::kAnswer : Rank::kKnock, draft);
 }
 
-void Fleet::TakeAskFor(Place from, const Message& message, TimePoint now) {
+void Membership::TakeAskFor(PeerId from, const Message& message, TimePoint now) {
   const auto relays = std::count_if(asks_.begin(), asks_.end(),
                                     [](const auto& a) { return a.second.purpose == Purpose::kRelay; });
   if (static_cast<std::size_t>(relays) >= kMaxRelays || message.target.name == self_.name) return;
   const Known* known = Find(message.target.name);
   const Ask relay{Purpose::kRelay, message.target.name, 0, now, from, message.number};
-  Ping(Purpose::kRelay, known != nullptr ? known->place : message.target.place, known, now, &relay);
+  Ping(Purpose::kRelay, known != nullptr ? known->peer : message.target.peer, known, now, &relay);
 }
 
-void Fleet::TakeAnswer(Place from, const Message& message, TimePoint now) {
+void Membership::TakeAnswer(PeerId from, const Message& message, TimePoint now) {
   const auto found = asks_.find(message.number);
-  if (found == asks_.end() || (found->second.purpose != Purpose::kHelp && found->second.place != from)) {
+  if (found == asks_.end() || (found->second.purpose != Purpose::kHelp && found->second.peer != from)) {
     ++counts_.unasked;
     return;
   }
@@ -552,16 +555,16 @@
   }
   // The one asked for has answered, and not whoever else stands at its place now.
   Known* known = Find(ask.name);
-  const bool itself =
-      ask.purpose == Purpose::kHelp ||
-      (message.sender.name == ask.name && (known == nullptr || message.sender.word.life >= known->word.life));
+  const bool itself = ask.purpose == Purpose::kHelp ||
+                      (message.sender.name == ask.name &&
+                       (known == nullptr || message.sender.update.incarnation >= known->update.incarnation));
   if (!itself) return;
   if (ask.purpose == Purpose::kRelay) {
     Draft draft;
     draft.kind = Kind::kAck;
     draft.number = ask.for_number;
     draft.about = known;
-    Send(ask.for_place, Rank::kAnswer, draft);
+    Send(ask.for_peer, Rank::kAnswer, draft);
     return;
   }
   if (ask.purpose == Purpose::kProbe) health_ = std::max(health_ - 1, 0);
@@ -570,23 +573,23 @@
   known->accused = false;
   known->since = now;
   ++counts_.suspicions_refuted;
-  changes_.push_back({known->name, known->word.life, State::kSuspect, State::kAlive, false, true});
+  changes_.push_back({known->name, known->update.incarnation, State::kSuspect, State::kAlive, false, true});
 }
 
 // ---- In turn ----
 
-bool Fleet::Deaf(TimePoint now) const {
+bool Membership::Deaf(TimePoint now) const {
   return unanswered_ >= kDeafAsks && now - last_answer_ > kDeafPeriods * Duration(limits_.period);
 }
 
-void Fleet::Tick(TimePoint now) {
+void Membership::Tick(TimePoint now) {
   if (now < next_beat_) return;
   Refill(now);
   Refresh();
   // Called late, we stood still and not the others: what they could not say meanwhile is not held against
   // them.
   const Duration late = now - next_beat_;
-  if (late > Beat() && without_ != Without::kLocalHealth) {
+  if (late > Beat() && without_ != DisabledDefense::kLocalHealth) {
     last_answer_ += late;
     for (Probe& probe : probes_) probe.at += late;
     for (auto& [number, ask] : asks_) ask.at += late;
@@ -611,11 +614,11 @@
   }
 }
 
-void Fleet::BeginPeriod(TimePoint now) {
+void Membership::BeginPeriod(TimePoint now) {
   Forgetting(now);
   Refresh();
   if (!Judges()) return;
-  if (without_ != Without::kAskingAgain || living_.empty()) LookAround(now);
+  if (without_ != DisabledDefense::kAskingAgain || living_.empty()) LookAround(now);
   // In the order that the period's number and the names give, the next one after us.
   const auto period = static_cast<std::uint64_t>(now / Duration(limits_.period));
   const std::uint64_t own = OrderIn(period, own_.digest);
@@ -627,29 +630,29 @@
   std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
   for (std::size_t i = 0; i < count; ++i) {
     Known& member = *order[i].second;
-    if (Ping(Purpose::kProbe, member.place, &member, now)) probes_.push_back({member.name, now});
+    if (Ping(Purpose::kProbe, member.peer, &member, now)) probes_.push_back({member.name, now});
   }
   more_probes_ = std::max(more_probes_ - 1, 0);
 }
 
 // Asks at a place that nobody is known to stand at. All together ask at each some kLooks times a period.
-void Fleet::LookAround(TimePoint now) {
-  const std::vector<Place>& lost = Lost();
+void Membership::LookAround(TimePoint now) {
+  const std::vector<PeerId>& lost = Lost();
   if (lost.empty() || Random(living_.size() + 1) >= kLooks * lost.size()) return;
   Ping(Purpose::kLook, lost[Random(lost.size())], nullptr, now);
 }
 
-void Fleet::Probing(TimePoint now) {
+void Membership::Probing(TimePoint now) {
   for (Probe& probe : probes_) {
     Known* member = Find(probe.name);
-    if (probe.answered || member == nullptr || !Lives(member->word.state) || member->accused) {
+    if (probe.answered || member == nullptr || !IsLive(member->update.state) || member->accused) {
       probe.answered = true;
       continue;
     }
     if (now - probe.at < Beat() / 2) continue;  // asked in this beat
     if (now - probe.at < kFailAfterBeats * Beat() - Beat() / 2) {
       // Asked again each time: one lost datagram in ten would else be a suspicion in a hundred.
-      Ping(Purpose::kProbe, member->place, member, now);
+      Ping(Purpose::kProbe, member->peer, member, now);
       if (!probe.helped && now - probe.at >= kHelpAfterBeats * Beat() - Beat() / 2) {
         probe.helped = true;
         AskFor(*member, kHelpers, now);
@@ -657,31 +660,32 @@
       continue;
     }
     probe.answered = true;  // judged
-    if (!probe.heard && without_ != Without::kLocalHealth) health_ = std::min(health_ + 1, kMostHealth);
+    if (!probe.heard && without_ != DisabledDefense::kLocalHealth)
+      health_ = std::min(health_ + 1, kMostHealth);
     Accuse(*member, now);
   }
   std::erase_if(probes_, [](const Probe& p) { return p.answered; });
 }
 
-void Fleet::Accuse(Known& member, TimePoint now) {
+void Membership::Accuse(Known& member, TimePoint now) {
   ++counts_.suspicions_raised;
   more_probes_ = kTroublePeriods;
   member.accused = true;
   member.knocks = 0;
   member.accused_at = now;
   member.since = now;
-  changes_.push_back({member.name, member.word.life, State::kAlive, State::kSuspect, false, true});
+  changes_.push_back({member.name, member.update.incarnation, State::kAlive, State::kSuspect, false, true});
 }
 
-Duration Fleet::SuspicionOf(const Known& member) const {
+Duration Membership::SuspicionOf(const Known& member) const {
   const int falls = std::max(0, member.falls - kFallsFree);
   return Duration(limits_.suspicion) * (1 + health_) * (1 << falls);
 }
 
-void Fleet::Knocking(TimePoint now) {
+void Membership::Knocking(TimePoint now) {
   if (!Judges()) return;
   // Judging stands still while it may be our own fault that nobody answers.
-  const bool deaf = without_ != Without::kLocalHealth && Deaf(now);
+  const bool deaf = without_ != DisabledDefense::kLocalHealth && Deaf(now);
   std::vector<Known*> suspects;
   std::copy_if(living_.begin(), living_.end(), std::back_inserter(suspects),
                [](const Known* k) { return k->accused; });
@@ -690,34 +694,34 @@
   for (Known* member : suspects) {
     if (deaf) member->accused_at += Beat();
     if (now - member->accused_at >= SuspicionOf(*member) &&
-        (member->knocks >= kLeastKnocks || without_ == Without::kKnocking)) {
+        (member->knocks >= kLeastKnocks || without_ == DisabledDefense::kKnocking)) {
       ++counts_.deaths_declared;
-      Word word = member->word;
-      word.state = State::kDead;
-      Become(*member, word, true, true, now);
+      MemberUpdate update = member->update;
+      update.state = State::kDead;
+      Become(*member, update, true, true, now);
       continue;
     }
-    if (without_ == Without::kKnocking || knocks >= kKnocksABeat) continue;
+    if (without_ == DisabledDefense::kKnocking || knocks >= kKnocksABeat) continue;
     if (now - member->knocked_at < kKnockBeats * Beat() - Beat() / 2) continue;
     member->knocked_at = now;
-    if (!Ping(Purpose::kKnock, member->place, member, now)) continue;
+    if (!Ping(Purpose::kKnock, member->peer, member, now)) continue;
     ++knocks;
     if (++member->knocks % 2 == 0) AskFor(*member, 1, now);
   }
   Refresh();
 }
 
-void Fleet::Gossip(TimePoint now) {
+void Membership::Gossip(TimePoint now) {
   if (left_ && queue_.empty()) return;
   if (Judges() && Unsettled(now)) {
     // What is new rides on these as well, both ways.
-    for (const Known* member : Several(kSyncsABeat, {})) Ping(Purpose::kSync, member->place, member, now);
+    for (const Known* member : Several(kSyncsABeat, {})) Ping(Purpose::kSync, member->peer, member, now);
   } else if (!queue_.empty()) {
     for (const Known* member : Several(kToldABeat, {})) {
       Draft draft;
       draft.kind = Kind::kGossip;
       if (Differed(now)) draft.fill = fill_from_;
-      Send(member->place, Rank::kNews, draft);
+      Send(member->peer, Rank::kNews, draft);
     }
   }
   if (!Judges()) return;
@@ -727,7 +731,7 @@
 
 // Asks that were not answered; whoever asked for another hears that we could not reach it either, and knows
 // that its own way is sound.
-void Fleet::Expire(TimePoint now) {
+void Membership::Expire(TimePoint now) {
   for (auto at = asks_.begin(); at != asks_.end();) {
     const Ask& ask = at->second;
     const bool relay = ask.purpose == Purpose::kRelay;
@@ -739,42 +743,42 @@
       Draft draft;
       draft.kind = Kind::kNack;
       draft.number = ask.for_number;
-      Send(ask.for_place, Rank::kAnswer, draft);
+      Send(ask.for_peer, Rank::kAnswer, draft);
     }
     at = asks_.erase(at);
   }
 }
 
-void Fleet::Forgetting(TimePoint now) {
+void Membership::Forgetting(TimePoint now) {
   std::vector<std::string> gone;
   for (auto& [name, known] : members_) {
     if (known.falls > 0 && now - known.fell_at > kFallPeriods * Duration(limits_.period)) {
       --known.falls;
       known.fell_at = now;
     }
-    if (!Lives(known.word.state) && now - known.since > Duration(limits_.forget)) gone.push_back(name);
+    if (!IsLive(known.update.state) && now - known.since > Duration(limits_.forget)) gone.push_back(name);
   }
   for (const std::string& name : gone) Erase(name);
 }
 
-void Fleet::Leave(TimePoint now) {
+void Membership::Leave(TimePoint now) {
   if (left_) return;
   left_ = true;
-  ++own_.word.incarnation;
-  own_.word.state = State::kLeft;
+  ++own_.update.refutations;
+  own_.update.state = State::kLeft;
   own_.since = now;
   TellOfSelf();
-  Count(PartOf(own_.digest), DigestMember(self_.name, self_.life), 0);
+  Count(PartOf(own_.digest), DigestMember(self_.name, self_.incarnation), 0);
   Refill(now);
   for (const Known* member : Several(kToldAtLeave, {})) {
     Draft draft;
     draft.kind = Kind::kGossip;
-    Send(member->place, Rank::kAsk, draft);
+    Send(member->peer, Rank::kAsk, draft);
   }
   next_beat_ = std::min(next_beat_, now + Beat());
 }
 
-void Fleet::Note(std::string line, TimePoint now) {
+void Membership::Note(std::string line, TimePoint now) {
   if (noted_.count() != 0 && now - noted_ < kNoteEvery) return;
   noted_ = now;
   notes_.push_back(std::move(line));
--- a/src/membership/fleet.h
+++ b/src/membership/membership.h
@@ -1,4 +1,4 @@
-// One gatekeeper's view of which gatekeepers of its fleet live. Free of I/O and clock: datagrams and time are
+// One gateway's view of which gateways of its fleet live. Free of I/O and clock: datagrams and time are
 // handed in, datagrams to be sent are taken out. Design: docs/fleet-view-design.md.
 //
 // Promises, in protocol periods (Limits::period), with `suspicion` at three of them; the numbers are what
@@ -19,8 +19,8 @@
 //     in all, of which answers get seven tenths and what is merely news a half at most.
 //  8. Bad input: whatever can't be read, is of another fleet, of a later version or of a former life is
 //     counted and changes nothing.
-#ifndef POSTSPREAD_MEMBERSHIP_FLEET_H_
-#define POSTSPREAD_MEMBERSHIP_FLEET_H_
+#ifndef POSTSPREAD_MEMBERSHIP_MEMBERSHIP_H_
+#define POSTSPREAD_MEMBERSHIP_MEMBERSHIP_H_
 
 #include <cstdint>
 #include <deque>
@@ -38,28 +38,28 @@
 
 namespace postspread::membership {
 
-class Fleet {
+class Membership {
  public:
   struct Self {
     std::string name;  // 1 to kMaxName bytes
-    Place place = 0;
-    std::uint64_t life = 0;
+    PeerId peer = 0;
+    std::uint64_t incarnation = 0;
     // Another process may come to stand at our place and take over, as in an upgrade.
     bool may_be_succeeded = false;
   };
   struct Datagram {
-    Place to = 0;
+    PeerId to = 0;
     std::string bytes;
   };
 
-  Fleet(Self self, std::vector<Place> seeds, const Limits& limits, std::uint64_t seed, TimePoint now,
-        Without without = Without::kNothing);
+  Membership(Self self, std::vector<PeerId> seeds, const Limits& limits, std::uint64_t seed, TimePoint now,
+             DisabledDefense disabled = DisabledDefense::kNothing);
 
-  Fleet(const Fleet&) = delete;
-  Fleet& operator=(const Fleet&) = delete;
+  Membership(const Membership&) = delete;
+  Membership& operator=(const Membership&) = delete;
 
   // A datagram has come from this place. False: it is of another subsystem, and was left alone.
-  bool Received(Place from, std::string_view bytes, TimePoint now);
+  bool Received(PeerId from, std::string_view bytes, TimePoint now);
   void Tick(TimePoint now);
   TimePoint NextTick() const { return next_beat_; }
   // SIGTERM has come: says that it leaves, and judges nobody from now on; it goes on answering.
@@ -83,8 +83,8 @@
   // Places are addresses and not ranks.
   bool by_address() const { return !limits_.listen.empty(); }
   // The state of the member at this place: of the latest life, if several stood there. Nothing: never heard.
-  std::optional<Word> At(Place place) const;
-  std::uint64_t life() const { return self_.life; }
+  std::optional<MemberUpdate> At(PeerId peer) const;
+  std::uint64_t incarnation() const { return self_.incarnation; }
   const std::string& name() const { return self_.name; }
   const Counts& counts() const { return counts_; }
   // Nothing it asked has been answered of late: it does not judge.
@@ -94,8 +94,8 @@
   struct Known {
     std::string name;
     std::uint64_t digest = 0;  // of the name alone
-    Place place = 0;
-    Word word;
+    PeerId peer = 0;
+    MemberUpdate update;
     TimePoint since{0};
     bool accused = false;  // by this member, which knocks at it
     TimePoint accused_at{0};
@@ -111,9 +111,9 @@
   struct Ask {
     Purpose purpose = Purpose::kProbe;
     std::string name;  // who is asked for
-    Place place = 0;   // who is asked
+    PeerId peer = 0;   // who is asked
     TimePoint at{0};
-    Place for_place = 0;  // kRelay: who wants to know
+    PeerId for_peer = 0;  // kRelay: who wants to know
     std::uint64_t for_number = 0;
     std::size_t want = 0;  // which of want_from_ it went by
   };
@@ -139,13 +139,13 @@
     const PartHashes* unlike = nullptr;   // ... of the parts that differ from these
     std::uint16_t from = 0;               // kExchange: from where on words are wanted
   };
-  bool Send(Place to, Rank rank, const Draft& draft);
-  bool Ping(Purpose purpose, Place to, const Known* whom, TimePoint now, const Ask* relay = nullptr);
+  bool Send(PeerId to, Rank rank, const Draft& draft);
+  bool Ping(Purpose purpose, PeerId to, const Known* whom, TimePoint now, const Ask* relay = nullptr);
   std::uint16_t Fill(Writer& writer, std::uint16_t from, const PartHashes* unlike);
   void BeginPeriod(TimePoint now);
-  void TakeAnswer(Place from, const Message& message, TimePoint now);
-  void TakePing(Place from, const Message& message, bool differs, TimePoint now);
-  void TakeAskFor(Place from, const Message& message, TimePoint now);
+  void TakeAnswer(PeerId from, const Message& message, TimePoint now);
+  void TakePing(PeerId from, const Message& message, bool differs, TimePoint now);
+  void TakeAskFor(PeerId from, const Message& message, TimePoint now);
   void AskFor(const Known& member, std::size_t helpers, TimePoint now);
   void Probing(TimePoint now);
   void Expire(TimePoint now);
@@ -154,9 +154,9 @@
   void Forgetting(TimePoint now);
   void Accuse(Known& member, TimePoint now);
   Duration SuspicionOf(const Known& member) const;
-  void Hear(const Entry& entry, bool direct, Place from, TimePoint now);
+  void Hear(const Entry& entry, bool direct, PeerId from, TimePoint now);
   void HearOfSelf(const Entry& entry, TimePoint now);
-  void Become(Known& member, const Word& word, bool by_self, bool news, TimePoint now);
+  void Become(Known& member, const MemberUpdate& update, bool by_self, bool news, TimePoint now);
   void Tell(Known& member, int told);
   void TellOfSelf();
   int MostTold();
@@ -165,14 +165,14 @@
   bool MakeRoom();
   void Erase(const std::string& name);
   // Sends what is known of a member to the place it was heard from, once a beat at most.
-  void TellOfItself(Known& member, Place at, TimePoint now);
+  void TellOfItself(Known& member, PeerId at, TimePoint now);
   bool Differs(std::uint32_t view, TimePoint now);
   bool Differed(TimePoint now) const;
   bool Unsettled(TimePoint now) const { return now < unsettled_until_; }
   void Count(std::size_t part, std::uint64_t before, std::uint64_t after);
   PartHashes Parts() const;
   void Refresh();
-  const std::vector<Place>& Lost();
+  const std::vector<PeerId>& Lost();
   void LookAround(TimePoint now);
   std::uint64_t Share(const Known& member) const;
   State StateOf(const Known& known) const;
@@ -183,9 +183,9 @@
 
   Self self_;
   Known own_;  // the own word, to be told as any other
-  std::vector<Place> seeds_;
+  std::vector<PeerId> seeds_;
   Limits limits_;
-  Without without_;
+  DisabledDefense without_;
   std::mt19937_64 random_;
   std::uint32_t fleet_;
 
@@ -194,8 +194,8 @@
   bool stale_ = true;                                  // and then these are made anew by Refresh
   std::vector<Known*> living_, recent_;
   bool lost_stale_ = true;
-  std::vector<Place> lost_;    // seeds and former places that no living member stands at
-  std::deque<Place> former_;   // of members that were forgotten
+  std::vector<PeerId> lost_;   // seeds and former places that no living member stands at
+  std::deque<PeerId> former_;  // of members that were forgotten
   std::vector<Known*> queue_;  // to be told
   std::uint64_t hash_ = 0;
   std::array<std::uint64_t, kParts> parts_{};
@@ -230,4 +230,4 @@
 
 }  // namespace postspread::membership
 
-#endif  // POSTSPREAD_MEMBERSHIP_FLEET_H_
+#endif  // POSTSPREAD_MEMBERSHIP_MEMBERSHIP_H_
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,4 +1,4 @@
-// What the view of the fleet consists of: plain values.
+// What the membership view consists of: plain values.
 #ifndef POSTSPREAD_MEMBERSHIP_TYPES_H_
 #define POSTSPREAD_MEMBERSHIP_TYPES_H_
 
@@ -18,7 +18,7 @@
 
 // Where a member is reached: a rank of the configuration's `peers`, or an IPv4 address and port in 48 bits.
 // Whoever owns the socket knows which; here it is only compared and handed back.
-using Place = std::uint64_t;
+using PeerId = std::uint64_t;
 
 inline constexpr std::size_t kMaxMembers = 1'000;
 inline constexpr std::size_t kMaxName = 31;  // bytes
@@ -33,22 +33,22 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 // A suspect lives until somebody has shown that it does not.
-constexpr bool Lives(State state) { return state <= State::kSuspect; }
+constexpr bool IsLive(State state) { return state <= State::kSuspect; }
 
 // What is said of a member. Two words on one member merge to the greater one, so the merge is commutative,
 // associative and idempotent, and words may be lost, doubled, late and out of order.
-struct Word {
-  std::uint64_t life = 0;  // milliseconds of the Unix epoch when its process started
-  std::uint32_t incarnation = 0;
+struct MemberUpdate {
+  std::uint64_t incarnation = 0;  // milliseconds of the Unix epoch when its process started
+  std::uint32_t refutations = 0;
   State state = State::kAlive;  // never kSuspect in a word that is told
-  auto operator<=>(const Word&) const = default;
+  auto operator<=>(const MemberUpdate&) const = default;
 };
-constexpr Word Merge(const Word& a, const Word& b) { return std::max(a, b); }
+constexpr MemberUpdate Merge(const MemberUpdate& a, const MemberUpdate& b) { return std::max(a, b); }
 
 struct Member {
   std::string name;
-  Place place = 0;
-  Word word;
+  PeerId peer = 0;
+  MemberUpdate update;
   TimePoint since{0};  // when its state or life last changed here
 };
 
@@ -74,10 +74,10 @@
 };
 
 // A defence that a test switches off, to see that the test tells. Nothing else may.
-enum class Without {
+enum class DisabledDefense {
   kNothing,
   kRefutation,
-  kLives,
+  kIncarnations,
   kLocalHealth,
   kAskingAgain,
   kOrder,
@@ -88,7 +88,7 @@
 
 struct Change {
   std::string name;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   State from = State::kLeft, to = State::kAlive;
   bool is_new = false;   // not known before, or in another life
   bool by_self = false;  // this member's own judgement, not hearsay
@@ -103,7 +103,7 @@
   std::uint64_t view_changes = 0;
   std::uint64_t name_conflicts = 0;  // another process bears a living member's name
   // Dropped, by cause.
-  std::uint64_t unreadable = 0, foreign = 0, future = 0, former_life = 0, unasked = 0, no_room = 0;
+  std::uint64_t unreadable = 0, foreign = 0, future = 0, former_incarnation = 0, unasked = 0, no_room = 0;
   std::uint64_t held_back = 0;  // not sent for want of budget
 };
 
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned char kVersion = 1;
 constexpr std::size_t kChecksumBytes = 4;
 constexpr std::uint64_t kMostNumber = (1ULL << 53) - 1;  // of any varint: what is above is no value of ours
-constexpr std::uint32_t kMostIncarnation = 1U << 30;
+constexpr std::uint32_t kMaxRefutations = 1U << 30;
 constexpr XXH64_hash_t kMemberSeed = 0x766965;
 
 void Put32(std::uint32_t value, std::string& out) {
@@ -26,12 +26,12 @@
   for (; value >= 0x80; value >>= 7) out += static_cast<char>((value & 0x7f) | 0x80);
   out += static_cast<char>(value);
 }
-void PutEntry(std::string_view name, Place place, const Word& word, bool news, std::string& out) {
-  out += static_cast<char>(name.size() | static_cast<std::size_t>(word.state) << 5 | (news ? 0x80U : 0U));
+void PutEntry(std::string_view name, PeerId peer, const MemberUpdate& update, bool news, std::string& out) {
+  out += static_cast<char>(name.size() | static_cast<std::size_t>(update.state) << 5 | (news ? 0x80U : 0U));
   out += name;
-  PutVarint(place, out);
-  PutVarint(word.life, out);
-  PutVarint(word.incarnation, out);
+  PutVarint(peer, out);
+  PutVarint(update.incarnation, out);
+  PutVarint(update.refutations, out);
 }
 
 class Scanner {
@@ -67,16 +67,16 @@
   Entry ReadEntry() {
     Entry out;
     const unsigned char head = Byte();
-    out.word.state = static_cast<State>(head >> 5 & 3);
+    out.update.state = static_cast<State>(head >> 5 & 3);
     const std::size_t size = head & 0x1f;
     out.news = (head & 0x80) != 0;
-    if (size == 0 || out.word.state == State::kSuspect) Cut();
+    if (size == 0 || out.update.state == State::kSuspect) Cut();
     out.name = Take(size);
-    out.place = Varint();
-    out.word.life = Varint();
-    const std::uint64_t incarnation = Varint();
-    if (incarnation > kMostIncarnation) Cut();
-    out.word.incarnation = static_cast<std::uint32_t>(incarnation);
+    out.peer = Varint();
+    out.update.incarnation = Varint();
+    const std::uint64_t refutations = Varint();
+    if (refutations > kMaxRefutations) Cut();
+    out.update.refutations = static_cast<std::uint32_t>(refutations);
     return out;
   }
 
@@ -91,15 +91,15 @@
 
 }  // namespace
 
-std::uint32_t DigestFleet(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
+std::uint32_t DigestGroup(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
 
-std::uint64_t DigestMember(std::string_view name, std::uint64_t life) {
-  return XXH3_64bits_withSeed(name.data(), name.size(), kMemberSeed + life);
+std::uint64_t DigestMember(std::string_view name, std::uint64_t incarnation) {
+  return XXH3_64bits_withSeed(name.data(), name.size(), kMemberSeed + incarnation);
 }
 
 std::uint64_t OrderIn(std::uint64_t period, std::uint64_t name_digest) {
-  const std::uint64_t words[] = {period, name_digest};
-  return XXH3_64bits(words, sizeof words);
+  const std::uint64_t updates[] = {period, name_digest};
+  return XXH3_64bits(updates, sizeof updates);
 }
 
 Writer::Writer(std::uint32_t fleet, const Message& head, std::size_t size) : fleet_(fleet), size_(size) {
@@ -109,18 +109,18 @@
   out_ += static_cast<char>(head.kind);
   PutVarint(head.number, out_);
   Put32(head.view, out_);
-  PutEntry(head.sender.name, 0, head.sender.word, head.sender.news, out_);
+  PutEntry(head.sender.name, 0, head.sender.update, head.sender.news, out_);
   if (head.kind == Kind::kExchange) {
     PutVarint(head.from, out_);
     for (const std::uint16_t part : head.parts) Put16(part, out_);
   }
   if (head.kind == Kind::kAskFor)
-    PutEntry(head.target.name, head.target.place, head.target.word, false, out_);
+    PutEntry(head.target.name, head.target.peer, head.target.update, false, out_);
 }
 
-bool Writer::Add(std::string_view name, Place place, const Word& word, bool news) {
+bool Writer::Add(std::string_view name, PeerId peer, const MemberUpdate& update, bool news) {
   const std::size_t before = out_.size();
-  PutEntry(name, place, word, news, out_);
+  PutEntry(name, peer, update, news, out_);
   if (out_.size() + kChecksumBytes <= size_) return true;
   out_.resize(before);
   return false;
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -1,4 +1,4 @@
-// Datagrams of the view of the fleet: who sends, what kind it is, and words on members behind that.
+// Datagrams of the membership view: who sends, what kind it is, and words on members behind that.
 //
 //   "PSV" version | fleet u32 | kind u8 | number varint | view u32 | from varint | sender's entry |
 //   (exchange: hashes of the view's parts, u16 each) | (ask for another: its entry) | entries ... | checksum
@@ -31,8 +31,8 @@
 
 struct Entry {
   std::string name;
-  Place place = 0;
-  Word word;
+  PeerId peer = 0;
+  MemberUpdate update;
   bool news = false;  // to be told on; else it only fills a datagram, for one whose view differs
   bool operator==(const Entry&) const = default;
 };
@@ -51,9 +51,9 @@
 enum class Fault { kNone, kNotOurs, kUnreadable, kForeign, kFuture };
 
 // Of the fleet's name.
-std::uint32_t DigestFleet(std::string_view name);
+std::uint32_t DigestGroup(std::string_view name);
 // Of a member of the view; the view's hash is all of these together, in any order.
-std::uint64_t DigestMember(std::string_view name, std::uint64_t life);
+std::uint64_t DigestMember(std::string_view name, std::uint64_t incarnation);
 // A member's place in the order of a period.
 std::uint64_t OrderIn(std::uint64_t period, std::uint64_t name_digest);
 
@@ -62,7 +62,7 @@
  public:
   Writer(std::uint32_t fleet, const Message& head, std::size_t size);
   // False, and nothing added, where there is no room left.
-  bool Add(std::string_view name, Place place, const Word& word, bool news);
+  bool Add(std::string_view name, PeerId peer, const MemberUpdate& update, bool news);
   std::string Seal() &&;
 
  private:
--- a/src/net/ops_door.cpp
+++ b/src/net/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "net/ops_door.h"
+#include "net/admin_server.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -16,9 +16,9 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kPatience{5'000};  // for a caller's head, and for it to take the answer
-constexpr std::chrono::milliseconds kLinger{1'000};    // for a caller to close after the answer
-constexpr std::chrono::milliseconds kWatchAgain{50};   // until the system is asked again to watch a socket
+constexpr std::chrono::milliseconds kTimeout{5'000};  // for a caller's head, and for it to take the answer
+constexpr std::chrono::milliseconds kLinger{1'000};   // for a caller to close after the answer
+constexpr std::chrono::milliseconds kWatchAgain{50};  // until the system is asked again to watch a socket
 constexpr int kBacklog = 64;
 constexpr int kAcceptsATurn = 8;
 constexpr int kNotFound = 404;
@@ -26,28 +26,30 @@
 
 }  // namespace
 
-class OpsDoor::Caller {
+class AdminServer::AdminConnection {
  public:
-  Caller(OpsDoor& door, evutil_socket_t fd) : door_(door), timer_(door.base_, [this] { TimedOut(); }) {
+  AdminConnection(AdminServer& admin_server, evutil_socket_t fd)
+      : admin_server_(admin_server), timer_(admin_server.base_, [this] { TimedOut(); }) {
     const int one = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    connection_.reset(bufferevent_socket_new(door.base_, fd, BEV_OPT_CLOSE_ON_FREE));
+    connection_.reset(bufferevent_socket_new(admin_server.base_, fd, BEV_OPT_CLOSE_ON_FREE));
     if (!connection_) {
       evutil_closesocket(fd);
       throw std::bad_alloc();
     }
     bufferevent_priority_set(connection_.get(), kUrgent);
     bufferevent_setcb(
-        connection_.get(), [](bufferevent*, void* self) { static_cast<Caller*>(self)->Read(); },
-        [](bufferevent*, void* self) { static_cast<Caller*>(self)->Written(); },
+        connection_.get(), [](bufferevent*, void* self) { static_cast<AdminConnection*>(self)->Read(); },
+        [](bufferevent*, void* self) { static_cast<AdminConnection*>(self)->Written(); },
         [](bufferevent*, short what, void* self) {
-          auto* caller = static_cast<Caller*>(self);
-          if (IsPassingError(what)) return caller->door_.WatchAll();
-          if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) caller->Gone((what & BEV_EVENT_ERROR) != 0);
+          auto* connection = static_cast<AdminConnection*>(self);
+          if (IsPassingError(what)) return connection->admin_server_.WatchAll();
+          if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0)
+            connection->Gone((what & BEV_EVENT_ERROR) != 0);
         },
         this);
     bufferevent_setwatermark(connection_.get(), EV_READ, 0, http::RequestParser::kMaxHead);
-    timer_.Arm(kPatience);
+    timer_.Arm(kTimeout);
   }
   // False: the system refused to watch it, and it would be deaf.
   bool Watched() { return Watch(connection_.get()); }
@@ -59,12 +61,12 @@
       Consume(connection_.get(), parser_.Feed(PeekFirst(connection_.get())));
     }
     if (parser_.broken()) {
-      door_.malformed_("admin call malformed", parser_.error());
+      admin_server_.malformed_("admin call malformed", parser_.error());
       return Answer({.status = 400, .body = std::string(parser_.error()) + "\n", .allow = {}});
     }
     if (!parser_.done()) return;
-    const ops::Answer answer = ops::Call(parser_.method(), parser_.target(), door_.desk_);
-    door_.LogCall(parser_.method() + " " + parser_.target(), answer);
+    const ops::Answer answer = ops::Call(parser_.method(), parser_.target(), admin_server_.handler_);
+    admin_server_.LogCall(parser_.method() + " " + parser_.target(), answer);
     Answer(answer);
   }
 
@@ -84,8 +86,8 @@
   }
 
   void TimedOut() {
-    if (answered_) return door_.Remove(this);
-    door_.unfinished_("admin call not finished", "no whole call in time");
+    if (answered_) return admin_server_.Remove(this);
+    admin_server_.unfinished_("admin call not finished", "no whole call in time");
     Answer({.status = 408, .body = "the call was not finished in time\n", .allow = {}});
     if (!shut_) timer_.Arm(kLinger);
   }
@@ -93,11 +95,12 @@
   // A caller that has shut its side may still read: what it is owed goes out first.
   void Gone(bool error) {
     if (!answered_)
-      door_.unfinished_("admin call not finished", error ? "connection reset" : "closed by the caller");
-    if (error || !answered_ || shut_) door_.Remove(this);
+      admin_server_.unfinished_("admin call not finished",
+                                error ? "connection reset" : "closed by the caller");
+    if (error || !answered_ || shut_) admin_server_.Remove(this);
   }
 
-  OpsDoor& door_;
+  AdminServer& admin_server_;
   BufferEvent connection_;
   Timer timer_;
   http::RequestParser parser_;
@@ -105,8 +108,8 @@
   bool shut_ = false;
 };
 
-OpsDoor::OpsDoor(event_base* base, const config::Address& listen, ops::Desk& desk)
-    : base_(base), desk_(desk), watch_again_(base, [this] { WatchAll(); }) {
+AdminServer::AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler)
+    : base_(base), handler_(handler), watch_again_(base, [this] { WatchAll(); }) {
   // Not evconnlistener: it has no priority, and a call must be let in however busy the loop is.
   OpenWithRetries([&] {
     fd_ = socket(listen.get()->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -120,26 +123,26 @@
   }
   accept_.reset(event_new(
       base, fd_, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<OpsDoor*>(self)->Accept(); }, this));
+      [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->Accept(); }, this));
   event_priority_set(accept_.get(), kUrgent);
   WatchAll();
 }
 
-OpsDoor::~OpsDoor() {
+AdminServer::~AdminServer() {
   accept_.reset();
   close(fd_);
 }
 
 // A socket that the system refuses to watch would be deaf for good, and a call on it lost: it is asked again.
-void OpsDoor::WatchAll() {
+void AdminServer::WatchAll() {
   bool watched = event_add(accept_.get(), nullptr) == 0;
-  for (const auto& caller : callers_) watched = caller->Watched() && watched;
+  for (const auto& connection : connections_) watched = connection->Watched() && watched;
   if (watched) return;
   accept_failed_("can't watch a socket", "of the admin listener");
   watch_again_.Arm(kWatchAgain);
 }
 
-void OpsDoor::Accept() {
+void AdminServer::Accept() {
   for (int i = 0; i < kAcceptsATurn; ++i) {
     const evutil_socket_t fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
@@ -148,25 +151,25 @@
       return;
     }
     // Silent callers must not keep out a true one, which says at once what it wants.
-    if (callers_.size() >= config::kDoorCallers) {
+    if (connections_.size() >= config::kAdminConnections) {
       unfinished_("admin call not finished", "made room for another caller");
-      callers_.pop_front();
+      connections_.pop_front();
     }
-    callers_.push_back(std::make_unique<Caller>(*this, fd));
-    if (!callers_.back()->Watched()) watch_again_.Arm(kWatchAgain);
+    connections_.push_back(std::make_unique<AdminConnection>(*this, fd));
+    if (!connections_.back()->Watched()) watch_again_.Arm(kWatchAgain);
   }
 }
 
 // Each call that may change something, and what names no call; readiness checks and scrapes come all the
 // time.
-void OpsDoor::LogCall(const std::string& call, const ops::Answer& answer) {
+void AdminServer::LogCall(const std::string& call, const ops::Answer& answer) {
   const std::string line = call + ": " + std::to_string(answer.status);
   if (!call.starts_with("GET ")) return Log("admin call", line);
   if (answer.status == kNotFound || answer.status == kWrongMethod) malformed_("admin call", line);
 }
 
-void OpsDoor::Remove(Caller* caller) {
-  callers_.remove_if([caller](const auto& c) { return c.get() == caller; });
+void AdminServer::Remove(AdminConnection* connection) {
+  connections_.remove_if([connection](const auto& c) { return c.get() == connection; });
 }
 
 }  // namespace postspread::net
--- a/src/net/client_connection.cpp
+++ b/src/net/downstream/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/client_connection.h"
+#include "net/downstream/client_connection.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -27,18 +27,18 @@
 constexpr std::chrono::milliseconds kOwed{1'000};       // for what is owed before a protocol error
 constexpr std::chrono::milliseconds kLingerCheck{100};  // between two looks at a client that is to close
 constexpr safety::LingerLimits kLinger{.linger = std::chrono::milliseconds(1'000),
-                                       .patience = kUntaken,
+                                       .timeout = kUntaken,
                                        .most = std::chrono::milliseconds(2'000)};
 
-std::string_view Words(planner::FailReason reason) {
+std::string_view Words(planner::FailureReason reason) {
   switch (reason) {
-    case planner::FailReason::kFailed:
+    case planner::FailureReason::kFailed:
       return "-ERR failed\r\n";
-    case planner::FailReason::kUnknown:
+    case planner::FailureReason::kUnknown:
       return "-ERR outcome unknown: the change under this key may have been made\r\n";
-    case planner::FailReason::kOtherKey:
+    case planner::FailureReason::kOtherKey:
       return "-ERR this key was used for another request\r\n";
-    case planner::FailReason::kAnswerGone:
+    case planner::FailureReason::kAnswerGone:
       return "-ERR the change under this key was made, its answer is held no longer\r\n";
   }
   return "-ERR failed\r\n";
@@ -79,14 +79,14 @@
   Unreserve();
 }
 
-void ClientConnection::Abandon() {
+void ClientConnection::CancelPendingRequests() {
   std::deque<PendingResponse> pending = std::move(pending_);
   pending_.clear();
   first_slot_ += pending.size();
   for (const PendingResponse& response : pending) {
     if (response.ready) continue;
     context_.open_ids.erase(response.id);
-    if (response.number) context_.handler.ClientGone(*response.number);
+    if (response.number) context_.handler.OnClientDisconnect(*response.number);
   }
 }
 
@@ -190,12 +190,12 @@
   owner_.Remove(this);
 }
 
-void ClientConnection::Defer(Slot slot, std::chrono::milliseconds retry_after) {
+void ClientConnection::RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) {
   if (retry_after.count() <= 0) return Answer(slot, "-BUSY\r\n");
   Answer(slot, "-BUSY " + std::to_string(retry_after.count()) + "\r\n");
 }
 
-void ClientConnection::Begin(Slot slot, std::size_t window) {
+void ClientConnection::BeginStream(Slot slot, std::size_t window) {
   if (!HasPendingResponse(slot)) return;
   pending_[slot - first_slot_].in_pieces = true;
   window_ = window;
@@ -203,12 +203,12 @@
   bufferevent_setwatermark(connection_.get(), EV_WRITE, window / 2, 0);
 }
 
-std::size_t ClientConnection::Room(Slot slot) {
+std::size_t ClientConnection::StreamCapacity(Slot slot) {
   if (slot != first_slot_ || !HasPendingResponse(slot)) return 0;
   return window_ - std::min(window_, Unwritten(connection_.get()));
 }
 
-void ClientConnection::Pass(Slot slot, evbuffer* from, std::size_t size) {
+void ClientConnection::WriteStream(Slot slot, evbuffer* from, std::size_t size) {
   if (slot == first_slot_ && HasPendingResponse(slot)) {
     evbuffer_remove_buffer(from, bufferevent_get_output(connection_.get()), size);
   } else {
@@ -216,7 +216,7 @@
   }
 }
 
-void ClientConnection::End(Slot slot) {
+void ClientConnection::EndStream(Slot slot) {
   if (slot != first_slot_ || !HasPendingResponse(slot)) return;
   context_.open_ids.erase(pending_.front().id);
   bufferevent_setwatermark(connection_.get(), EV_WRITE, 0, 0);
@@ -224,7 +224,7 @@
   Flush();
 }
 
-void ClientConnection::Break(Slot slot) {
+void ClientConnection::AbortStream(Slot slot) {
   if (!HasPendingResponse(slot)) return;
   context_.open_ids.erase(pending_[slot - first_slot_].id);
   pending_[slot - first_slot_].number.reset();
@@ -372,9 +372,9 @@
     if (slot < first_slot_ || pending_[slot - first_slot_].ready) continue;
     // A value on its way goes on: an answer written into it would be part of it.
     if (slot == first_slot_ && pending_.front().in_pieces) continue;
-    const std::optional<planner::EnvelopeNumber> number = pending_[slot - first_slot_].number;
-    if (number) context_.handler.ClientGone(*number);
-    Fail(slot, planner::FailReason::kFailed);
+    const std::optional<RequestId> number = pending_[slot - first_slot_].number;
+    if (number) context_.handler.OnClientDisconnect(*number);
+    Fail(slot, planner::FailureReason::kFailed);
   }
 }
 
@@ -388,7 +388,7 @@
     resp::AppendBulk(command_.parts[1], echo);
     return Say(std::move(echo));
   }
-  resp::Request request;
+  resp::DecodedRequest request;
   if (const char* error = resp::DecodeRequest(command_, context_.vocabulary, request)) {
     context_.turned_down("command turned down", error);
     return Say(std::string("-ERR ") + error + "\r\n");
@@ -399,11 +399,12 @@
   // The time that it has waited here behind others is no longer its client's to wait.
   const auto waited =
       std::chrono::floor<std::chrono::milliseconds>(Clock::now() - arrivals_.Of(command_.size));
-  request.envelope.patience -= std::max(waited, std::chrono::milliseconds(0));
+  request.request.timeout -= std::max(waited, std::chrono::milliseconds(0));
   const Slot slot = first_slot_ + pending_.size();
   pending_.emplace_back().id = id;
-  const planner::EnvelopeNumber number = context_.handler.Take(
-      request.envelope, resp::Letter(command_.message(), request.extras, request.patience), *this, slot);
+  const RequestId number = context_.handler.HandleRequest(
+      request.request, resp::EncodedRequest(command_.message(), request.extras, request.timeout), *this,
+      slot);
   if (slot >= first_slot_) pending_[slot - first_slot_].number = number;  // else answered already
 }
 
@@ -419,7 +420,7 @@
   if (response.id != 0) context_.open_ids.erase(response.id);
   if (slot != first_slot_) {
     response.answer = answer;
-    held_ += answer.size();
+    in_flight_ += answer.size();
     return;
   }
   Write(connection_.get(), answer);
@@ -429,7 +430,7 @@
 
 void ClientConnection::Flush() {
   while (!pending_.empty() && pending_.front().ready) {
-    held_ -= pending_.front().answer.size();
+    in_flight_ -= pending_.front().answer.size();
     Write(connection_.get(), pending_.front().answer);
     Pop();
   }
@@ -446,7 +447,7 @@
 
 void ClientConnection::AskForMore() {
   if (pending_.empty() || !pending_.front().in_pieces || !pending_.front().number) return;
-  context_.handler.RoomAgain(*pending_.front().number);
+  context_.handler.ResumeStream(*pending_.front().number);
 }
 
 void ClientConnection::Pop() {
@@ -455,7 +456,7 @@
 }
 
 bool ClientConnection::Full() const {
-  return pending_.size() >= kMaxPending || held_ + Unwritten(connection_.get()) > kMaxUnread;
+  return pending_.size() >= kMaxPending || in_flight_ + Unwritten(connection_.get()) > kMaxUnread;
 }
 
 void ClientConnection::Flow() {
@@ -507,6 +508,6 @@
   owner_.Remove(this);
 }
 
-void ClientConnection::Fail(Slot slot, planner::FailReason reason) { Answer(slot, Words(reason)); }
+void ClientConnection::Fail(Slot slot, planner::FailureReason reason) { Answer(slot, Words(reason)); }
 
 }  // namespace postspread::net
--- a/src/net/client_connection.h
+++ b/src/net/downstream/client_connection.h
@@ -1,7 +1,7 @@
 // One connection of a client: reads its commands, keeps its answers in order, and ends when src/safety/
 // allows it. Its states: docs/design.md.
-#ifndef POSTSPREAD_NET_CLIENT_CONNECTION_H_
-#define POSTSPREAD_NET_CLIENT_CONNECTION_H_
+#ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
+#define POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
 
 #include <chrono>
 #include <cstddef>
@@ -15,10 +15,10 @@
 #include "flow/arrival_times.h"
 #include "flow/byte_budget.h"
 #include "flow/eviction.h"
+#include "net/downstream/request_handler.h"
 #include "net/log.h"
 #include "net/loop.h"
-#include "net/request_handler.h"
-#include "ops/figures.h"
+#include "ops/metrics.h"
 #include "resp/request.h"
 #include "safety/connection_rules.h"
 
@@ -29,7 +29,7 @@
   event_base* base;
   resp::Vocabulary vocabulary;  // what commands are checked against
   flow::ByteBudget& bodies;     // what large commands are read under
-  ops::Figures& metrics;
+  ops::Metrics& metrics;
   RequestHandler& handler;
   // Ids of requests that are owed an answer, by hash: another one under such an id is a fault of its client,
   // and passed on it could run in the other's place.
@@ -55,8 +55,8 @@
 
   ~ClientConnection();
 
-  // Tells of every envelope that is still owed an answer.
-  void Abandon();
+  // Tells of every request that is still owed an answer.
+  void CancelPendingRequests();
 
   safety::ConnectionFacts Facts() const;
   // Between requests, with nothing read and nothing waiting at the socket.
@@ -101,15 +101,15 @@
   void OnDisconnect();
 
   // ResponseWriter
-  void Serve(Slot slot, std::string_view value) override { Answer(slot, value); }
-  void Defer(Slot slot, std::chrono::milliseconds retry_after) override;
-  void Fail(Slot slot, planner::FailReason reason) override;
-  void Begin(Slot slot, std::size_t window) override;
-  std::size_t Room(Slot slot) override;
-  void Pass(Slot slot, evbuffer* from, std::size_t size) override;
-  void End(Slot slot) override;
-  bool Present() override { return !broken_ && !net::HungUp(connection_.get()); }
-  void Break(Slot slot) override;
+  void Complete(Slot slot, std::string_view value) override { Answer(slot, value); }
+  void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) override;
+  void Fail(Slot slot, planner::FailureReason reason) override;
+  void BeginStream(Slot slot, std::size_t window) override;
+  std::size_t StreamCapacity(Slot slot) override;
+  void WriteStream(Slot slot, evbuffer* from, std::size_t size) override;
+  void EndStream(Slot slot) override;
+  bool IsClientConnected() override { return !broken_ && !net::HungUp(connection_.get()); }
+  void AbortStream(Slot slot) override;
 
  private:
   enum class State {
@@ -118,7 +118,7 @@
     kLingering,  // all is answered and our side is shut; what still comes is thrown away
   };
   struct PendingResponse {
-    std::optional<planner::EnvelopeNumber> number;
+    std::optional<RequestId> number;
     std::size_t id = 0;  // its hash
     bool ready = false;
     bool in_pieces = false;  // its value comes in pieces
@@ -221,7 +221,7 @@
   Clock::time_point shut_at_, progress_at_;
   std::size_t unacknowledged_ = 0;  // at the last look
   std::size_t need_ = 0;
-  std::size_t held_ = 0;  // bytes of answers that wait for their turn
+  std::size_t in_flight_ = 0;  // bytes of answers that wait for their turn
   resp::Command command_;
   Slot first_slot_ = 0;                  // of the first slot
   std::deque<PendingResponse> pending_;  // the commands that are owed an answer, in order
@@ -229,4 +229,4 @@
 
 }  // namespace postspread::net
 
-#endif  // POSTSPREAD_NET_CLIENT_CONNECTION_H_
+#endif  // POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
--- a/src/net/client_listener.cpp
+++ b/src/net/downstream/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/client_listener.h"
+#include "net/downstream/client_listener.h"
 
 #include <sys/socket.h>
 
@@ -37,12 +37,12 @@
 
 ClientListener::ClientListener(event_base* base, const config::Address& listen, std::optional<int> inherited,
                                resp::Vocabulary vocabulary, std::size_t max_connections,
-                               flow::ByteBudget& bodies, ops::Figures& figures, RequestHandler& intake)
+                               flow::ByteBudget& bodies, ops::Metrics& metrics, RequestHandler& intake)
     : base_(base),
       context_{.base = base,
                .vocabulary = std::move(vocabulary),
                .bodies = bodies,
-               .metrics = figures,
+               .metrics = metrics,
                .handler = intake},
       max_connections_(max_connections),
       inherited_(inherited.has_value()),
@@ -261,7 +261,7 @@
   const std::unique_ptr<ClientConnection> owned = std::move(*found);
   connections_.erase(found);
   owned->JudgeClose();
-  owned->Abandon();
+  owned->CancelPendingRequests();
 }
 
 void ClientListener::StartAccepting() {
--- a/src/net/client_listener.h
+++ b/src/net/downstream/client_listener.h
@@ -1,6 +1,6 @@
 // Takes clients' connections in and holds them: room, silence, drains and stops.
-#ifndef POSTSPREAD_NET_CLIENT_LISTENER_H_
-#define POSTSPREAD_NET_CLIENT_LISTENER_H_
+#ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
+#define POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -10,10 +10,10 @@
 #include <utility>
 
 #include "flow/byte_budget.h"
-#include "net/client_connection.h"
+#include "net/downstream/client_connection.h"
+#include "net/downstream/request_handler.h"
 #include "net/log.h"
 #include "net/loop.h"
-#include "net/request_handler.h"
 #include "ops/lifecycle.h"
 
 namespace postspread::net {
@@ -25,7 +25,7 @@
   // std::runtime_error where that can't be.
   ClientListener(event_base* base, const config::Address& listen, std::optional<int> inherited,
                  resp::Vocabulary vocabulary, std::size_t max_connections, flow::ByteBudget& bodies,
-                 ops::Figures& figures, RequestHandler& intake);
+                 ops::Metrics& metrics, RequestHandler& intake);
   ~ClientListener();
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
@@ -88,4 +88,4 @@
 
 }  // namespace postspread::net
 
-#endif  // POSTSPREAD_NET_CLIENT_LISTENER_H_
+#endif  // POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -34,8 +34,9 @@
   Open(base, listen, shared);
 }
 
-PeerLink::PeerLink(event_base* base, const config::Address& listen, bool shared, OnPlace on_place)
-    : on_place_(std::move(on_place)) {
+PeerLink::PeerLink(event_base* base, const config::Address& listen, bool shared,
+                   OnPeerDatagram on_peer_datagram)
+    : on_peer_datagram_(std::move(on_peer_datagram)) {
   Open(base, listen, shared);
 }
 
@@ -71,22 +72,22 @@
       sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, peer.get(), peer.size());
 }
 
-std::uint64_t PeerLink::PlaceOf(const sockaddr_in& address) {
+std::uint64_t PeerLink::PeerIdOf(const sockaddr_in& address) {
   return std::uint64_t{ntohl(address.sin_addr.s_addr)} << 16 | ntohs(address.sin_port);
 }
 
-std::string PeerLink::TextOf(std::uint64_t place) {
+std::string PeerLink::TextOf(std::uint64_t peer) {
   std::string out;
   for (int shift = 40; shift >= 16; shift -= 8)
-    out += std::to_string(place >> shift & 0xff) + (shift > 16 ? "." : ":");
-  return out + std::to_string(place & 0xffff);
+    out += std::to_string(peer >> shift & 0xff) + (shift > 16 ? "." : ":");
+  return out + std::to_string(peer & 0xffff);
 }
 
-void PeerLink::SendTo(std::uint64_t place, std::string_view bytes) {
+void PeerLink::SendTo(std::uint64_t peer, std::string_view bytes) {
   sockaddr_in to{};
   to.sin_family = AF_INET;
-  to.sin_addr.s_addr = htonl(static_cast<std::uint32_t>(place >> 16));
-  to.sin_port = htons(static_cast<std::uint16_t>(place & 0xffff));
+  to.sin_addr.s_addr = htonl(static_cast<std::uint32_t>(peer >> 16));
+  to.sin_port = htons(static_cast<std::uint16_t>(peer & 0xffff));
   [[maybe_unused]] const ssize_t sent = sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL,
                                                reinterpret_cast<const sockaddr*>(&to), sizeof to);
 }
@@ -112,9 +113,10 @@
     const ssize_t got =
         recvfrom(fd_, bytes, sizeof bytes, MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) return;
-    if (on_place_) {
+    if (on_peer_datagram_) {
       if (from.ss_family != AF_INET) continue;
-      on_place_(PlaceOf(reinterpret_cast<const sockaddr_in&>(from)), {bytes, static_cast<std::size_t>(got)});
+      on_peer_datagram_(PeerIdOf(reinterpret_cast<const sockaddr_in&>(from)),
+                        {bytes, static_cast<std::size_t>(got)});
       continue;
     }
     int rank = 0;
--- a/src/net/counter_client.cpp
+++ b/src/net/upstream/counter_client.cpp
@@ -1,4 +1,4 @@
-#include "net/counter_client.h"
+#include "net/upstream/counter_client.h"
 
 #include <algorithm>
 #include <array>
@@ -53,21 +53,23 @@
   if (connection_) bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
 }
 
-void CounterClient::Ask(planner::AskCounter ask) {
+void CounterClient::Ask(planner::CallCounter ask) {
   // A call is not kept for a connection that is still to come: told as not added, it must not be added later.
   if (!up_ || calls_.size() >= kMaxCalls) {
-    return listener_.CounterAnswered({std::move(ask.name), CounterResult::kUnreachable, 0, microseconds(0)});
+    return listener_.OnCounterReply({std::move(ask.name), CounterResult::kUnreachable, 0, microseconds(0)});
   }
   // The counter reads decimal numbers only, so no exponent; the shortest form that gives the same number.
   std::array<char, 400> amount;
   const auto amount_end =
       std::to_chars(amount.data(), amount.data() + amount.size(), ask.amount, std::chars_format::fixed).ptr;
   const std::int64_t life_ms =
-      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(ask.life).count(), 1, kMaxLifeMs);
-  std::array<char, 24> life;
-  const auto life_end = std::to_chars(life.data(), life.data() + life.size(), life_ms).ptr;
+      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(ask.incarnation).count(), 1, kMaxLifeMs);
+  std::array<char, 24> incarnation;
+  const auto life_end =
+      std::to_chars(incarnation.data(), incarnation.data() + incarnation.size(), life_ms).ptr;
   message_.clear();
-  resp::AppendCommand({"CNT.ADD", ask.name, {amount.data(), amount_end}, {life.data(), life_end}}, message_);
+  resp::AppendCommand({"CNT.ADD", ask.name, {amount.data(), amount_end}, {incarnation.data(), life_end}},
+                      message_);
   Send(message_, std::move(ask.name));
   if (calls_.size() - reported_ == 1) ArmTimer();
 }
@@ -138,8 +140,8 @@
   using Kind = resp::Reply::Kind;
   CounterResult result = CounterResult::kAdded;
   double total = 0;
-  const std::string_view word = reply.text.substr(0, reply.text.find(' '));
-  if (reply.kind == Kind::kError && (word == "BUSY" || word == "ERR")) {
+  const std::string_view update = reply.text.substr(0, reply.text.find(' '));
+  if (reply.kind == Kind::kError && (update == "BUSY" || update == "ERR")) {
     result = CounterResult::kTurnedAway;
   } else if (calls_.front().is_ping) {
     if (reply.kind != Kind::kSimple) return Lost("malformed answer");
@@ -161,7 +163,7 @@
 void CounterClient::Report(Call& call, CounterResult result, double total) {
   if (std::exchange(call.reported, true) || call.is_ping) return;
   const auto elapsed = duration_cast<microseconds>(Clock::now() - call.begun);
-  listener_.CounterAnswered({std::move(call.name), result, total, elapsed});
+  listener_.OnCounterReply({std::move(call.name), result, total, elapsed});
 }
 
 // Calls whose time is up are reported; their slots stay, so that later answers still find theirs.
--- a/src/net/counter_client.h
+++ b/src/net/upstream/counter_client.h
@@ -1,6 +1,6 @@
 // The shared counter: one connection, calls written one behind another, answers matched in order.
-#ifndef POSTSPREAD_NET_COUNTER_CLIENT_H_
-#define POSTSPREAD_NET_COUNTER_CLIENT_H_
+#ifndef POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
+#define POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
 
 #include <chrono>
 #include <cstdint>
@@ -18,7 +18,7 @@
 class CounterListener {
  public:
   // Told once for each call, in the order of the calls of a name; possibly from within Ask.
-  virtual void CounterAnswered(planner::CounterReport report) = 0;
+  virtual void OnCounterReply(planner::CounterReport report) = 0;
 
  protected:
   ~CounterListener() = default;
@@ -31,7 +31,7 @@
   CounterClient(const CounterClient&) = delete;
   CounterClient& operator=(const CounterClient&) = delete;
 
-  void Ask(planner::AskCounter ask);
+  void Ask(planner::CallCounter ask);
   bool up() const { return up_; }
   const config::Address& address() const { return address_; }
 
@@ -85,4 +85,4 @@
 
 }  // namespace postspread::net
 
-#endif  // POSTSPREAD_NET_COUNTER_CLIENT_H_
+#endif  // POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
--- a/src/net/discovery_watch.cpp
+++ b/src/net/upstream/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery_watch.h"
+#include "net/upstream/discovery_watch.h"
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -10,10 +10,10 @@
 namespace postspread::net {
 DiscoveryWatch::DiscoveryWatch(event_base* base, config::Address address,
                                std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed,
-                               OnRoster on_roster)
+                               EndpointListCallback on_endpoint_list)
     : base_(base),
       address_(std::move(address)),
-      on_roster_(std::move(on_roster)),
+      on_endpoint_list_(std::move(on_endpoint_list)),
       times_(dial_timeout, group_size, seed),
       timer_(base, [this] { connection_ ? Lost("no answer in time") : Dial(); }) {
   Dial();
@@ -68,21 +68,21 @@
     Lost("status " + std::to_string(parser_.status()));
     return timer_.Arm(times_.Refused());
   }
-  config::Roster roster;
+  config::EndpointList endpoint_list;
   try {
     const auto body = nlohmann::json::parse(parser_.body(), nullptr, /*allow_exceptions=*/false);
     if (body.is_discarded()) throw json_read::JsonError("not valid JSON");
-    roster = config::DecodeRoster(body);
+    endpoint_list = config::DecodeEndpointList(body);
   } catch (const json_read::JsonError& error) {
     return Lost(error.what());
   }
   if (std::exchange(failing_, false)) Log("discovery answers again");
   times_.Answered();
   // A list whose number goes back is another's: what it says has changed says nothing of what was held.
-  const bool anew = has_index_ && !roster.full && roster.index < index_;
+  const bool anew = has_index_ && !endpoint_list.full && endpoint_list.index < index_;
   heard_ = true;
   has_index_ = !anew;
-  index_ = roster.index;
+  index_ = endpoint_list.index;
   // The next call goes out first: the watch goes on only if it comes at once.
   const bool closes = parser_.closes() || ReadSize(connection_.get()) > 0;
   parser_.Reset();
@@ -92,7 +92,8 @@
   } else {
     Ask();
   }
-  if (!anew && (roster.full || !roster.entries.empty())) on_roster_(std::move(roster));
+  if (!anew && (endpoint_list.full || !endpoint_list.entries.empty()))
+    on_endpoint_list_(std::move(endpoint_list));
 }
 
 void DiscoveryWatch::Lost(std::string_view why) {
--- a/src/net/discovery_watch.h
+++ b/src/net/upstream/discovery_watch.h
@@ -1,29 +1,29 @@
 // Keeps up with discovery's list: asks for the whole once, then watches for changes. What becomes of a call
 // is told by its answer, or its time; from a failed, refused or given-up one to the next that is answered it
-// is never longer than roster::CallTimes says, and so a change is in force within its bound. The half of an
-// answer that was reset is no list; neither is what comes behind one. Where the list's number goes back,
-// discovery began anew: the whole is asked for.
-#ifndef POSTSPREAD_NET_DISCOVERY_WATCH_H_
-#define POSTSPREAD_NET_DISCOVERY_WATCH_H_
+// is never longer than discovery::DiscoverySchedule says, and so a change is in force within its bound. The
+// half of an answer that was reset is no list; neither is what comes behind one. Where the list's number goes
+// back, discovery began anew: the whole is asked for.
+#ifndef POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
+#define POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
 
 #include <chrono>
 #include <cstdint>
 #include <functional>
 #include <string_view>
 
-#include "config/roster.h"
+#include "config/endpoint_list.h"
+#include "discovery/discovery_schedule.h"
 #include "http/response.h"
 #include "net/loop.h"
-#include "roster/call_times.h"
 
 namespace postspread::net {
 
 class DiscoveryWatch {
  public:
-  using OnRoster = std::function<void(config::Roster roster)>;
+  using EndpointListCallback = std::function<void(config::EndpointList endpoint_list)>;
 
   DiscoveryWatch(event_base* base, config::Address address, std::chrono::microseconds dial_timeout,
-                 int group_size, std::uint64_t seed, OnRoster on_roster);
+                 int group_size, std::uint64_t seed, EndpointListCallback on_endpoint_list);
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
@@ -43,8 +43,8 @@
 
   event_base* base_;
   config::Address address_;
-  OnRoster on_roster_;
-  roster::CallTimes times_;
+  EndpointListCallback on_endpoint_list_;
+  discovery::DiscoverySchedule times_;
   BufferEvent connection_;
   http::ResponseParser parser_;
   bool heard_ = false;
@@ -56,4 +56,4 @@
 
 }  // namespace postspread::net
 
-#endif  // POSTSPREAD_NET_DISCOVERY_WATCH_H_
+#endif  // POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
