--- a/src/net/next_hop_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/next_hop_pool.h"
+#include "net/upstream/upstream_pool.h"
 
 #include <algorithm>
 #include <optional>
@@ -25,7 +25,7 @@
 constexpr int kKernelBytes = 64 * 1024;     // of the kernel's, for a connection that carries a large value
 constexpr std::size_t kCopied = 16 * 1024;  // a longer tail of a message is written by reference
 // A second copy of an answer that comes some milliseconds behind it, after the next request has left, can't
-// be told from that one's answer. So where next hops are seen to send what nobody asked for, a connection
+// be told from that one's answer. So where upstreams are seen to send what nobody asked for, a connection
 // rests before it is used again, for as long as that was seen of late.
 constexpr std::chrono::milliseconds kRest{20};
 constexpr std::chrono::seconds kRestsFor{60};
@@ -39,24 +39,28 @@
 
 }  // namespace
 
-struct NextHopPool::Hop {
+struct UpstreamPool::PooledUpstream {
   std::string name;
   config::Address address;
-  planner::HopState state = planner::HopState::kReady;
+  planner::UpstreamState state = planner::UpstreamState::kReady;
   std::chrono::milliseconds started{0};
   int incarnation = 0;  // changes with its start and its place: connections to a former one lead nowhere
   std::vector<std::unique_ptr<Connection>> connections;
 };
 
-class NextHopPool::Connection {
+class UpstreamPool::Connection {
  public:
-  Connection(NextHopPool& pool, Hop& hop)
-      : pool_(pool), hop_(hop), incarnation_(hop.incarnation), timer_(pool.base_, [this] { TimedOut(); }) {}
+  Connection(UpstreamPool& pool, PooledUpstream& upstream)
+      : pool_(pool),
+        upstream_(upstream),
+        incarnation_(upstream.incarnation),
+        timer_(pool.base_, [this] { TimedOut(); }) {}
 
   bool Dial() {
     dialled_ = Clock::now();
     connection_ = net::Dial(
-        pool_.base_, hop_.address, [](bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); },
+        pool_.base_, upstream_.address,
+        [](bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); },
         [](bufferevent*, void* self) { static_cast<Connection*>(self)->Written(); },
         [](bufferevent*, short what, void* self) { static_cast<Connection*>(self)->Event(what); }, this);
     if (!connection_) return false;
@@ -65,7 +69,7 @@
   }
 
   // Without a key it is a probe.
-  void Begin(const AttemptKey* key, const resp::Letter& message, microseconds timeout,
+  void Begin(const AttemptKey* key, const resp::EncodedRequest& message, microseconds timeout,
              microseconds begin_within, Clock::time_point begun) {
     is_probe_ = key == nullptr;
     key_ = key == nullptr ? AttemptKey{} : *key;
@@ -87,7 +91,7 @@
     const std::unique_ptr<Connection> self = pool_.Remove(*this);
     if (busy_ && !told_) return Report(result, {}, load);
     if (busy_) pool_.attempts_.erase(key_);
-    if (value_left_ > 0) pool_.listener_.ValueEnded(key_.envelope, /*whole=*/false);
+    if (value_left_ > 0) pool_.listener_.OnStreamFinished(key_.request, /*whole=*/false);
   }
 
   // There is room again for the value that is passed on.
@@ -97,16 +101,16 @@
     Pump();
   }
 
-  // A next hop that drains or is gone may get nothing new: what has not been written to it goes elsewhere.
+  // An upstream that drains or is gone may get nothing new: what has not been written to it goes elsewhere.
   void LeaveIfUnsent() {
     if (busy_ && unsent_) Close(AttemptResult::kCouldNotConnect);
   }
-  bool current() const { return incarnation_ == hop_.incarnation; }
+  bool current() const { return incarnation_ == upstream_.incarnation; }
 
-  Hop& hop() { return hop_; }
+  PooledUpstream& upstream() { return upstream_; }
   bool idle() const { return !busy_ && up_; }
-  // Looked at right before it is used again: a next hop may have closed it, or sent a second copy of its last
-  // answer, since the loop last looked. The one would be a reset that may have run, the other the wrong
+  // Looked at right before it is used again: an upstream may have closed it, or sent a second copy of its
+  // last answer, since the loop last looked. The one would be a reset that may have run, the other the wrong
   // value.
   bool spoilt() const { return HasNews(connection_.get()); }
   bool has_bytes() const { return HasBytes(connection_.get()); }
@@ -116,13 +120,13 @@
   // What was so when the attempt was decided, for the moment in which its first byte leaves. A probe has no
   // more to keep than the list.
   std::optional<safety::Rule> Forbidden(Clock::time_point now) const {
-    safety::AttemptFacts facts{.upstream_ready = hop_.state == planner::HopState::kReady,
+    safety::AttemptFacts facts{.upstream_ready = upstream_.state == planner::UpstreamState::kReady,
                                .connection_current = current(),
                                .way = way_there_,
                                .begin_by = begin_by_,
                                .deadline = ends_};
     if (is_probe_) return safety::MayProbe(facts);
-    facts.client_waits = pool_.listener_.Wanted(key_.envelope);
+    facts.client_waits = pool_.listener_.IsStillNeeded(key_.request);
     return safety::MayBegin(facts, now);
   }
 
@@ -131,7 +135,7 @@
   void SendIfAllowed() {
     const auto now = Clock::now();
     if (const std::optional<safety::Rule> rule = Forbidden(now)) {
-      pool_.listener_.Prevented(*rule);
+      pool_.listener_.OnRulePrevented(*rule);
       return Close(AttemptResult::kCouldNotConnect);
     }
     unsent_ = !(is_probe_ ? BeginWrite(connection_.get(), pool_.probe_) : Send());
@@ -178,18 +182,18 @@
       if (value_left_ == 0 || ReadSize(connection_.get()) < value_left_) Close(AttemptResult::kReset);
       return;
     }
-    // Before the last byte has left, the next hop can't have begun; after that it may have.
+    // Before the last byte has left, the upstream can't have begun; after that it may have.
     const bool never_ran = unsent_ || Unwritten(connection_.get()) > 0;
     // What broke one connection has most likely broken those that stand idle beside it: each would cost an
     // attempt that then counts as one that may have run.
-    if (busy_) pool_.CloseIdle(hop_, Clock::time_point::max());
+    if (busy_) pool_.CloseIdle(upstream_, Clock::time_point::max());
     Close(never_ran ? AttemptResult::kCouldNotConnect : AttemptResult::kReset);
   }
 
   // Counted when the last byte has gone to the socket, and once: not when it is in a buffer of ours.
   void Written() {
     if (!busy_ || unsent_ || Unwritten(connection_.get()) > 0 || std::exchange(written_, true)) return;
-    pool_.listener_.AttemptWritten();
+    pool_.listener_.OnAttemptWritten();
   }
 
   void TimedOut() {
@@ -234,7 +238,7 @@
   }
 
   // An answer that stands still halfway does not go on, and waiting for the attempt's own time-out would
-  // leave no time for another. Counted from its last byte, and by what gaps were seen to end: some next hops
+  // leave no time for another. Counted from its last byte, and by what gaps were seen to end: some upstreams
   // write in pieces.
   void ArmStall() {
     if (!stalled_) return;
@@ -247,11 +251,11 @@
   // so, or this connection is gone; else the value is to be read whole.
   bool BeginValue(const resp::LargeValue& large) {
     const auto elapsed = std::chrono::duration_cast<microseconds>(Clock::now() - begun_);
-    const auto wanted = pool_.listener_.ValueBegins({.envelope = key_.envelope,
-                                                     .attempt = key_.attempt,
-                                                     .next_hop = hop_.name,
-                                                     .result = AttemptResult::kServed,
-                                                     .elapsed = elapsed});
+    const auto wanted = pool_.listener_.OnLargeValue({.request = key_.request,
+                                                      .attempt = key_.attempt,
+                                                      .upstream = upstream_.name,
+                                                      .result = AttemptResult::kServed,
+                                                      .elapsed = elapsed});
     if (wanted == AttemptListener::Value::kWhole) return false;
     if (wanted == AttemptListener::Value::kNone) {
       Close(AttemptResult::kAbandoned);
@@ -274,21 +278,21 @@
       const bool whole = have >= value_left_;
       if (whole && !EndsRight()) return Malformed();
       const std::size_t ready = whole ? value_left_ : std::min(have, value_left_ - 2);
-      const std::size_t room = pool_.listener_.ValueRoom(key_.envelope);
+      const std::size_t room = pool_.listener_.StreamCapacity(key_.request);
       std::size_t size = std::min(ready, room);
       if (size < value_left_ && size > value_left_ - 2) size = value_left_ - 2;
       if (size == 0) {
         if (ready == 0) return timer_.Arm(kValueStall);
-        // The client takes its time: the next hop is not read from meanwhile, and no time runs for it.
+        // The client takes its time: the upstream is not read from meanwhile, and no time runs for it.
         paused_ = true;
         bufferevent_disable(connection_.get(), EV_READ);
         return timer_.Disarm();
       }
       value_left_ -= size;
-      pool_.listener_.PassValue(key_.envelope, bufferevent_get_input(connection_.get()), size);
+      pool_.listener_.StreamValue(key_.request, bufferevent_get_input(connection_.get()), size);
     }
     pool_.attempts_.erase(key_);
-    pool_.listener_.ValueEnded(key_.envelope, /*whole=*/true);
+    pool_.listener_.OnStreamFinished(key_.request, /*whole=*/true);
     need_ = 0;
     if (ended_) return Close(AttemptResult::kReset);
     timer_.Arm(kAnswerStall);
@@ -328,14 +332,14 @@
     busy_ = false;
     idle_since_ = Clock::now();
     if (ReadSize(connection_.get()) > 0) pool_.NoteUnasked();
-    if (ReadSize(connection_.get()) > 0 || hop_.state != planner::HopState::kReady || !current()) {
+    if (ReadSize(connection_.get()) > 0 || upstream_.state != planner::UpstreamState::kReady || !current()) {
       Close(AttemptResult::kReset);
     }
   }
 
   // What came has run, and the connection can't be used again.
   void Malformed() {
-    pool_.malformed_("next hop's answer is malformed", hop_.name);
+    pool_.malformed_("next hop's answer is malformed", upstream_.name);
     Close(AttemptResult::kReset);
   }
 
@@ -346,10 +350,10 @@
     planner::Use use;
     std::string_view value;
     if (reply.kind == Kind::kError) {
-      const std::string_view word = reply.text.substr(0, reply.text.find(' '));
-      if (word == "BUSY") {
+      const std::string_view update = reply.text.substr(0, reply.text.find(' '));
+      if (update == "BUSY") {
         result = AttemptResult::kTurnedAway;
-      } else if (word != "ERR") {
+      } else if (update != "ERR") {
         return Malformed();
       }
       resp::DecodeErrorTail(reply.text, use, load);
@@ -376,23 +380,23 @@
     told_ = true;
     const auto elapsed = std::chrono::duration_cast<microseconds>(Clock::now() - begun_);
     if (is_probe_) {
-      return pool_.listener_.ProbeEnded(
-          {.next_hop = hop_.name, .result = result, .elapsed = elapsed, .load = load});
+      return pool_.listener_.OnHealthCheckFinished(
+          {.upstream = upstream_.name, .result = result, .elapsed = elapsed, .load = load});
     }
     pool_.attempts_.erase(key_);
-    pool_.listener_.AttemptEnded({.envelope = key_.envelope,
-                                  .attempt = key_.attempt,
-                                  .next_hop = hop_.name,
-                                  .result = result,
-                                  .elapsed = elapsed,
-                                  .load = load,
-                                  .use = use},
-                                 value);
-  }
-
-  NextHopPool& pool_;
-  Hop& hop_;
-  const int incarnation_;  // of the next hop, that it leads to
+    pool_.listener_.OnAttemptFinished({.request = key_.request,
+                                       .attempt = key_.attempt,
+                                       .upstream = upstream_.name,
+                                       .result = result,
+                                       .elapsed = elapsed,
+                                       .load = load,
+                                       .use = use},
+                                      value);
+  }
+
+  UpstreamPool& pool_;
+  PooledUpstream& upstream_;
+  const int incarnation_;  // of the upstream, that it leads to
   BufferEvent connection_;
   Timer timer_;
   bool up_ = false;
@@ -403,8 +407,8 @@
   bool stalled_ = false;  // an answer has begun and not ended
   bool told_ = false;     // how the attempt ended; what is still under way is its value or what follows that
   bool paused_ = false;   // the client has no room for the value
-  bool ended_ = false;    // the next hop has closed; all of the value has come
-  resp::Letter message_;  // until its first byte has left; of a probe: none
+  bool ended_ = false;    // the upstream has closed; all of the value has come
+  resp::EncodedRequest message_;  // until its first byte has left; of a probe: none
   AttemptKey key_;
   std::size_t need_ = 0;
   std::size_t value_left_ = 0;  // bytes of a large value that are still to be passed on
@@ -418,7 +422,7 @@
   Clock::time_point idle_since_;
 };
 
-NextHopPool::NextHopPool(event_base* base, Limits limits, AttemptListener& listener)
+UpstreamPool::UpstreamPool(event_base* base, Limits limits, AttemptListener& listener)
     : base_(base),
       limits_(limits),
       probe_(ProbeMessage()),
@@ -428,107 +432,109 @@
   upkeep_.Arm(kUpkeep);
 }
 
-NextHopPool::~NextHopPool() = default;
+UpstreamPool::~UpstreamPool() = default;
 
-void NextHopPool::Apply(const config::Roster& roster) {
-  std::vector<Hop*> renewed, not_ready;
-  if (roster.full) {
-    for (auto& [name, hop] : hops_) hop->state = planner::HopState::kGone;
+void UpstreamPool::Apply(const config::EndpointList& endpoint_list) {
+  std::vector<PooledUpstream*> renewed, not_ready;
+  if (endpoint_list.full) {
+    for (auto& [name, upstream] : upstreams_) upstream->state = planner::UpstreamState::kGone;
   }
-  for (const config::RosterEntry& entry : roster.entries) {
-    std::unique_ptr<Hop>& hop = hops_[entry.hop.name];
-    if (!hop) {
-      hop = std::make_unique<Hop>();
-      hop->name = entry.hop.name;
+  for (const config::Endpoint& entry : endpoint_list.entries) {
+    std::unique_ptr<PooledUpstream>& upstream = upstreams_[entry.upstream.name];
+    if (!upstream) {
+      upstream = std::make_unique<PooledUpstream>();
+      upstream->name = entry.upstream.name;
     }
-    const bool moved = !(hop->address == entry.address) && entry.address.size() > 0;
+    const bool moved = !(upstream->address == entry.address) && entry.address.size() > 0;
     // A new process or a new place: connections to the old one lead nowhere.
-    if (moved || hop->started != entry.hop.started) {
-      ++hop->incarnation;
-      CloseIdle(*hop, Clock::time_point::max());
-      renewed.push_back(hop.get());
+    if (moved || upstream->started != entry.upstream.started) {
+      ++upstream->incarnation;
+      CloseIdle(*upstream, Clock::time_point::max());
+      renewed.push_back(upstream.get());
     }
-    if (moved) hop->address = entry.address;
-    hop->started = entry.hop.started;
-    hop->state = entry.hop.state;
-  }
-  for (auto& [name, hop] : hops_) {
-    if (hop->state != planner::HopState::kReady) not_ready.push_back(hop.get());
-  }
-  for (Hop* hop : not_ready) CloseIdle(*hop, Clock::time_point::max());
-  for (const std::vector<Hop*>& hops : {renewed, not_ready}) {
-    for (Hop* hop : hops) {
-      for (std::size_t i = hop->connections.size(); i-- > 0;) {
-        if (i < hop->connections.size()) hop->connections[i]->LeaveIfUnsent();
+    if (moved) upstream->address = entry.address;
+    upstream->started = entry.upstream.started;
+    upstream->state = entry.upstream.state;
+  }
+  for (auto& [name, upstream] : upstreams_) {
+    if (upstream->state != planner::UpstreamState::kReady) not_ready.push_back(upstream.get());
+  }
+  for (PooledUpstream* upstream : not_ready) CloseIdle(*upstream, Clock::time_point::max());
+  for (const std::vector<PooledUpstream*>& upstreams : {renewed, not_ready}) {
+    for (PooledUpstream* upstream : upstreams) {
+      for (std::size_t i = upstream->connections.size(); i-- > 0;) {
+        if (i < upstream->connections.size()) upstream->connections[i]->LeaveIfUnsent();
       }
     }
   }
 }
 
-void NextHopPool::Deliver(const AttemptKey& key, const std::string& next_hop, const resp::Letter& message,
-                          microseconds timeout, microseconds begin_within) {
-  const auto found = hops_.find(next_hop);
-  if (found != hops_.end()) return Start(*found->second, &key, message, timeout, begin_within);
-  listener_.AttemptEnded({.envelope = key.envelope,
-                          .attempt = key.attempt,
-                          .next_hop = next_hop,
-                          .result = AttemptResult::kCouldNotConnect},
-                         {});
+void UpstreamPool::StartAttempt(const AttemptKey& key, const std::string& upstream,
+                                const resp::EncodedRequest& message, microseconds timeout,
+                                microseconds begin_within) {
+  const auto found = upstreams_.find(upstream);
+  if (found != upstreams_.end()) return Start(*found->second, &key, message, timeout, begin_within);
+  listener_.OnAttemptFinished({.request = key.request,
+                               .attempt = key.attempt,
+                               .upstream = upstream,
+                               .result = AttemptResult::kCouldNotConnect},
+                              {});
 }
 
-void NextHopPool::Probe(const std::string& next_hop) {
-  const auto found = hops_.find(next_hop);
-  if (found != hops_.end()) {
+void UpstreamPool::StartHealthCheck(const std::string& upstream) {
+  const auto found = upstreams_.find(upstream);
+  if (found != upstreams_.end()) {
     return Start(*found->second, nullptr, {}, limits_.dial_timeout, limits_.dial_timeout);
   }
-  listener_.ProbeEnded({.next_hop = next_hop, .result = AttemptResult::kCouldNotConnect});
+  listener_.OnHealthCheckFinished({.upstream = upstream, .result = AttemptResult::kCouldNotConnect});
 }
 
-void NextHopPool::Start(Hop& hop, const AttemptKey* key, const resp::Letter& message, microseconds timeout,
-                        microseconds begin_within) {
+void UpstreamPool::Start(PooledUpstream& upstream, const AttemptKey* key, const resp::EncodedRequest& message,
+                         microseconds timeout, microseconds begin_within) {
   const auto begun = Clock::now();
-  Connection* connection = hop.state == planner::HopState::kReady ? FindIdle(hop) : nullptr;
-  if (connection == nullptr && hop.state == planner::HopState::kReady) connection = Open(hop);
+  Connection* connection = upstream.state == planner::UpstreamState::kReady ? FindIdle(upstream) : nullptr;
+  if (connection == nullptr && upstream.state == planner::UpstreamState::kReady) connection = Open(upstream);
   if (connection != nullptr) {
     if (key != nullptr) attempts_[*key] = connection;
     return connection->Begin(key, message, timeout, begin_within, begun);
   }
   if (key == nullptr) {
-    return listener_.ProbeEnded({.next_hop = hop.name, .result = AttemptResult::kCouldNotConnect});
-  }
-  listener_.AttemptEnded({.envelope = key->envelope,
-                          .attempt = key->attempt,
-                          .next_hop = hop.name,
-                          .result = AttemptResult::kCouldNotConnect},
-                         {});
+    return listener_.OnHealthCheckFinished(
+        {.upstream = upstream.name, .result = AttemptResult::kCouldNotConnect});
+  }
+  listener_.OnAttemptFinished({.request = key->request,
+                               .attempt = key->attempt,
+                               .upstream = upstream.name,
+                               .result = AttemptResult::kCouldNotConnect},
+                              {});
 }
 
-void NextHopPool::Abandon(const AttemptKey& key) {
+void UpstreamPool::CancelAttempt(const AttemptKey& key) {
   const auto found = attempts_.find(key);
   if (found != attempts_.end()) found->second->Close(AttemptResult::kAbandoned);
 }
 
-void NextHopPool::Resume(const AttemptKey& key) {
+void UpstreamPool::Resume(const AttemptKey& key) {
   const auto found = attempts_.find(key);
   if (found != attempts_.end()) found->second->Resume();
 }
 
-void NextHopPool::NoteGap(microseconds gap) {
+void UpstreamPool::NoteGap(microseconds gap) {
   longest_gap_ = std::max(gap, std::chrono::duration_cast<microseconds>(longest_gap_ * kGapFades));
 }
 
-void NextHopPool::NoteUnasked() { rests_until_ = Clock::now() + kRestsFor; }
+void UpstreamPool::NoteUnasked() { rests_until_ = Clock::now() + kRestsFor; }
 
-microseconds NextHopPool::Stall() const {
+microseconds UpstreamPool::Stall() const {
   return std::clamp<microseconds>(kGaps * longest_gap_, kAnswerStall, kStallMost);
 }
 
-NextHopPool::Connection* NextHopPool::FindIdle(Hop& hop) {
+UpstreamPool::Connection* UpstreamPool::FindIdle(PooledUpstream& upstream) {
   for (;;) {
     Connection* best = nullptr;  // the last used: the others may reach their age
     const auto now = Clock::now();
     const auto rested = now < rests_until_ ? now - kRest : now;
-    for (const auto& connection : hop.connections) {
+    for (const auto& connection : upstream.connections) {
       if (!connection->idle() || connection->idle_since() > rested) continue;
       if (best == nullptr || connection->idle_since() > best->idle_since()) best = connection.get();
     }
@@ -539,21 +545,21 @@
   }
 }
 
-NextHopPool::Connection* NextHopPool::Open(Hop& hop) {
+UpstreamPool::Connection* UpstreamPool::Open(PooledUpstream& upstream) {
   if (open_ >= limits_.connections && !EvictIdle()) {
     not_dialled_("next hop not dialled", "too many connections are open");
     return nullptr;
   }
-  auto connection = std::make_unique<Connection>(*this, hop);
+  auto connection = std::make_unique<Connection>(*this, upstream);
   if (!connection->Dial()) return nullptr;
   ++open_;
-  return hop.connections.emplace_back(std::move(connection)).get();
+  return upstream.connections.emplace_back(std::move(connection)).get();
 }
 
-bool NextHopPool::EvictIdle() {
+bool UpstreamPool::EvictIdle() {
   Connection* oldest = nullptr;
-  for (auto& [name, hop] : hops_) {
-    for (const auto& connection : hop->connections) {
+  for (auto& [name, upstream] : upstreams_) {
+    for (const auto& connection : upstream->connections) {
       if (!connection->idle()) continue;
       if (oldest == nullptr || connection->idle_since() < oldest->idle_since()) oldest = connection.get();
     }
@@ -562,8 +568,8 @@
   return oldest != nullptr;
 }
 
-std::unique_ptr<NextHopPool::Connection> NextHopPool::Remove(Connection& connection) {
-  auto& all = connection.hop().connections;
+std::unique_ptr<UpstreamPool::Connection> UpstreamPool::Remove(Connection& connection) {
+  auto& all = connection.upstream().connections;
   const auto found =
       std::find_if(all.begin(), all.end(), [&connection](const auto& c) { return c.get() == &connection; });
   std::unique_ptr<Connection> out = std::move(*found);
@@ -572,21 +578,21 @@
   return out;
 }
 
-void NextHopPool::CloseIdle(Hop& hop, Clock::time_point unused_since) {
-  for (std::size_t i = hop.connections.size(); i-- > 0;) {
-    Connection& connection = *hop.connections[i];
+void UpstreamPool::CloseIdle(PooledUpstream& upstream, Clock::time_point unused_since) {
+  for (std::size_t i = upstream.connections.size(); i-- > 0;) {
+    Connection& connection = *upstream.connections[i];
     if (connection.idle() && connection.idle_since() <= unused_since) Remove(connection);
   }
 }
 
-void NextHopPool::Upkeep() {
+void UpstreamPool::Upkeep() {
   upkeep_.Arm(kUpkeep);
   const auto unused_since = Clock::now() - reuse_within_;
-  for (auto it = hops_.begin(); it != hops_.end();) {
-    Hop& hop = *it->second;
-    CloseIdle(hop, unused_since);
-    const bool over = hop.state == planner::HopState::kGone && hop.connections.empty();
-    it = over ? hops_.erase(it) : std::next(it);
+  for (auto it = upstreams_.begin(); it != upstreams_.end();) {
+    PooledUpstream& upstream = *it->second;
+    CloseIdle(upstream, unused_since);
+    const bool over = upstream.state == planner::UpstreamState::kGone && upstream.connections.empty();
+    it = over ? upstreams_.erase(it) : std::next(it);
   }
 }
 
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -96,7 +96,7 @@
 
 // ---- fleet { ... }
 
-int CheckFleetName(cfg_t* cfg, cfg_opt_t* opt) {
+int CheckMembershipName(cfg_t* cfg, cfg_opt_t* opt) {
   const std::string name = cfg_opt_getnstr(opt, 0);
   if (!name.empty() && name.size() <= membership::kMaxName) return 0;
   cfg_error(cfg, "%s is \"%s\": 1 to %zu bytes are wanted", FullName(cfg, opt).c_str(), name.c_str(),
@@ -104,8 +104,8 @@
   return -1;
 }
 
-void CheckFleet(cfg_t* root) {
-  cfg_set_validate_func(root, "fleet|name", CheckFleetName);
+void CheckMembership(cfg_t* root) {
+  cfg_set_validate_func(root, "fleet|name", CheckMembershipName);
   cfg_set_validate_func(root, "fleet|datagram",
                         Within<membership::kLeastDatagram, membership::kMaxDatagram, ' ', 'b'>);
   cfg_set_validate_func(root, "fleet|datagrams_per_second", Within<5, 10'000>);
@@ -114,7 +114,7 @@
   cfg_set_validate_func(root, "fleet|forget", Within<1'000, 86'400'000, 'm', 's'>);
 }
 
-membership::Limits DecodeFleet(cfg_t* block, const std::string& file) {
+membership::Limits DecodeMembership(cfg_t* block, const std::string& file) {
   membership::Limits out;
   out.enabled = cfg_getbool(block, "enabled") == cfg_true;
   out.name = cfg_getstr(block, "name");
@@ -134,7 +134,7 @@
   return out;
 }
 
-concert::Limits DecodeConcert(cfg_t* block) {
+subsetting::Limits DecodeSubsetting(cfg_t* block) {
   return {.subsets = cfg_getbool(block, "subsets") == cfg_true,
           .nodes = static_cast<std::size_t>(cfg_getint(block, "nodes")),
           .least = static_cast<std::size_t>(cfg_getint(block, "least"))};
@@ -156,31 +156,31 @@
       CFG_INT_CB("datagrams_per_second", static_cast<long>(keys.datagrams_per_second), CFGF_NONE, ParseCount),
       CFG_INT_CB("peer_silent", keys.peer_silent.count(), CFGF_NONE, ParseSpan),
       CFG_END()};
-  const demand::Limits demand;
-  cfg_opt_t demand_block[] = {CFG_BOOL_CB("tell", demand.tell ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-                              CFG_END()};
-  const membership::Limits fleet;
-  cfg_opt_t fleet_block[] = {
-      CFG_BOOL_CB("enabled", fleet.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-      CFG_STR("name", fleet.name.c_str(), CFGF_NONE),
+  const usage::Limits usage;
+  cfg_opt_t usage_block[] = {
+      CFG_BOOL_CB("tell", usage.broadcast ? cfg_true : cfg_false, CFGF_NONE, ParseFlag), CFG_END()};
+  const membership::Limits membership;
+  cfg_opt_t membership_block[] = {
+      CFG_BOOL_CB("enabled", membership.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
+      CFG_STR("name", membership.name.c_str(), CFGF_NONE),
       CFG_STR_LIST("seeds", const_cast<char*>("{}"), CFGF_NONE),
       CFG_STR("listen", "", CFGF_NONE),
-      CFG_INT_CB("datagram", static_cast<long>(fleet.datagram), CFGF_NONE, ParseSize),
-      CFG_INT_CB("datagrams_per_second", static_cast<long>(fleet.datagrams_per_second), CFGF_NONE,
+      CFG_INT_CB("datagram", static_cast<long>(membership.datagram), CFGF_NONE, ParseSize),
+      CFG_INT_CB("datagrams_per_second", static_cast<long>(membership.datagrams_per_second), CFGF_NONE,
                  ParseCount),
-      CFG_INT_CB("period", fleet.period.count(), CFGF_NONE, ParseSpan),
-      CFG_INT_CB("suspicion", fleet.suspicion.count(), CFGF_NONE, ParseSpan),
-      CFG_INT_CB("forget", fleet.forget.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("period", membership.period.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("suspicion", membership.suspicion.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("forget", membership.forget.count(), CFGF_NONE, ParseSpan),
       CFG_END()};
-  const concert::Limits concert;
-  cfg_opt_t concert_block[] = {
-      CFG_BOOL_CB("subsets", concert.subsets ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-      CFG_INT_CB("nodes", static_cast<long>(concert.nodes), CFGF_NONE, ParseCount),
-      CFG_INT_CB("least", static_cast<long>(concert.least), CFGF_NONE, ParseCount), CFG_END()};
+  const subsetting::Limits subsetting;
+  cfg_opt_t subsetting_block[] = {
+      CFG_BOOL_CB("subsets", subsetting.subsets ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
+      CFG_INT_CB("nodes", static_cast<long>(subsetting.nodes), CFGF_NONE, ParseCount),
+      CFG_INT_CB("least", static_cast<long>(subsetting.least), CFGF_NONE, ParseCount), CFG_END()};
   cfg_opt_t blocks[] = {CFG_SEC("idempotency", idempotency_block, CFGF_NONE),
-                        CFG_SEC("demand", demand_block, CFGF_NONE),
-                        CFG_SEC("fleet", fleet_block, CFGF_NONE),
-                        CFG_SEC("concert", concert_block, CFGF_NONE),
+                        CFG_SEC("demand", usage_block, CFGF_NONE),
+                        CFG_SEC("fleet", membership_block, CFGF_NONE),
+                        CFG_SEC("concert", subsetting_block, CFGF_NONE),
                         CFG_BOOL(kEnd, cfg_false, CFGF_NONE),
                         CFG_END()};
 
@@ -190,7 +190,7 @@
   error_sink = &sink;
   cfg_set_error_function(root.get(), KeepError);
   CheckIdempotency(root.get());
-  CheckFleet(root.get());
+  CheckMembership(root.get());
   cfg_set_validate_func(root.get(), "concert|nodes", Within<2, 1'000>);
   cfg_set_validate_func(root.get(), "concert|least", Within<1, 1'000>);
   const bool is_text = text.find('\0') == std::string::npos;
@@ -202,9 +202,9 @@
     throw OperatorError(sink.fault.empty() ? name + ": not a text file" : sink.fault);
   }
   return {.idempotency = DecodeIdempotency(cfg_getsec(root.get(), "idempotency")),
-          .demand = {.tell = cfg_getbool(cfg_getsec(root.get(), "demand"), "tell") == cfg_true},
-          .fleet = DecodeFleet(cfg_getsec(root.get(), "fleet"), name),
-          .concert = DecodeConcert(cfg_getsec(root.get(), "concert"))};
+          .usage = {.broadcast = cfg_getbool(cfg_getsec(root.get(), "demand"), "tell") == cfg_true},
+          .membership = DecodeMembership(cfg_getsec(root.get(), "fleet"), name),
+          .subsetting = DecodeSubsetting(cfg_getsec(root.get(), "concert"))};
 }
 
 OperatorFile Load(const std::string& path) {
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -7,10 +7,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "concert/subset.h"
-#include "demand/limits.h"
 #include "idempotency/limits.h"
 #include "membership/types.h"
+#include "subsetting/subset.h"
+#include "usage/limits.h"
 
 namespace postspread::operator_file {
 
@@ -22,9 +22,9 @@
 
 struct OperatorFile {
   idempotency::Limits idempotency;
-  demand::Limits demand;
-  membership::Limits fleet;
-  concert::Limits concert;
+  usage::Limits usage;
+  membership::Limits membership;
+  subsetting::Limits subsetting;
   bool operator==(const OperatorFile&) const = default;
 };
 
--- a/src/ops/calls.h
+++ b/src/ops/admin_calls.h
@@ -1,6 +1,6 @@
 // What the operators' calls mean. No sockets.
-#ifndef POSTSPREAD_OPS_CALLS_H_
-#define POSTSPREAD_OPS_CALLS_H_
+#ifndef POSTSPREAD_OPS_ADMIN_CALLS_H_
+#define POSTSPREAD_OPS_ADMIN_CALLS_H_
 
 #include <string>
 #include <string_view>
@@ -14,24 +14,24 @@
 };
 
 // Who carries the calls out.
-class Desk {
+class AdminHandler {
  public:
   // Whether it serves; `state` is told in plain words.
   virtual bool Ready(std::string_view& state) = 0;
   virtual std::string Metrics() = 0;
-  // The view of the fleet as JSON; empty: it is off.
-  virtual std::string Fleet() = 0;
+  // The membership view as JSON; empty: it is off.
+  virtual std::string Membership() = 0;
   // False: too late, the process is stopping.
   virtual bool Drain() = 0;
   virtual bool Activate() = 0;
 
  protected:
-  ~Desk() = default;
+  ~AdminHandler() = default;
 };
 
 // `target` as the request line has it; what follows a '?' is not looked at.
-Answer Call(std::string_view method, std::string_view target, Desk& desk);
+Answer Call(std::string_view method, std::string_view target, AdminHandler& handler);
 
 }  // namespace postspread::ops
 
-#endif  // POSTSPREAD_OPS_CALLS_H_
+#endif  // POSTSPREAD_OPS_ADMIN_CALLS_H_
--- a/src/ops/lifecycle.cpp
+++ b/src/ops/lifecycle.cpp
@@ -63,9 +63,9 @@
   return "";
 }
 
-std::chrono::milliseconds ConnectionDrainSchedule::After(std::size_t place, std::size_t count) const {
+std::chrono::milliseconds ConnectionDrainSchedule::After(std::size_t index, std::size_t count) const {
   if (count <= 1) return first;
-  return first + (last - first) * static_cast<long>(place) / static_cast<long>(count - 1);
+  return first + (last - first) * static_cast<long>(index) / static_cast<long>(count - 1);
 }
 
 }  // namespace postspread::ops
--- a/src/ops/lifecycle.h
+++ b/src/ops/lifecycle.h
@@ -15,7 +15,7 @@
 
   enum class State { kStarting, kServing, kDraining, kStopping };
 
-  // Whether requests could be served, were it not for the operators: next hops are there, and discovery and
+  // Whether requests could be served, were it not for the operators: upstreams are there, and discovery and
   // the counter have answered or had their time to do so.
   void SetAble(bool able) { able_ = able; }
 
@@ -50,7 +50,7 @@
 
 std::string_view Name(Lifecycle::State state);
 
-// When the kept connections of a gatekeeper that drains are closed: spread, so that their clients do not all
+// When the kept connections of a gateway that drains are closed: spread, so that their clients do not all
 // dial others at once. At its time a connection takes what has come by then and no more, whatever its client
 // goes on to send, and is closed once that is answered.
 struct ConnectionDrainSchedule {
@@ -59,7 +59,7 @@
   std::chrono::milliseconds last{0};            // by then each takes nothing more
   std::chrono::milliseconds commands_until{0};  // by then a command that has begun to come must be whole
   // For the one at `place` of `count`, the longest unused first.
-  std::chrono::milliseconds After(std::size_t place, std::size_t count) const;
+  std::chrono::milliseconds After(std::size_t index, std::size_t count) const;
 };
 
 // By an operator's drain: the front asks every 0.1 s and sends on for 0.2 s more; 4 s after the call there
--- a/src/ops/figures.cpp
+++ b/src/ops/metrics.cpp
@@ -1,4 +1,4 @@
-#include "ops/figures.h"
+#include "ops/metrics.h"
 
 #include <prometheus/metric_family.h>
 #include <prometheus/text_serializer.h>
@@ -33,10 +33,10 @@
   return out;
 }
 
-MetricFamily ByClass(const char* name, const char* help, const Figures& figures,
-                     std::uint64_t ClassFigures::*member) {
+MetricFamily ByClass(const char* name, const char* help, const Metrics& metrics,
+                     std::uint64_t ClassMetrics::*member) {
   MetricFamily out = Family(name, help, MetricType::Counter);
-  for (const auto& [class_name, counts] : figures.classes) {
+  for (const auto& [class_name, counts] : metrics.classes) {
     ClientMetric& metric = out.metric.emplace_back();
     metric.label.push_back({"lane", class_name});
     metric.counter.value = static_cast<double>(counts.*member);
@@ -64,22 +64,24 @@
   return out;
 }
 
-void AddFleet(const FleetFigures& fleet, std::vector<MetricFamily>& out) {
+void AddMembership(const MembershipMetrics& membership, std::vector<MetricFamily>& out) {
   out.push_back(Labelled("fleet_members", "Gatekeepers by what this one holds of them", MetricType::Gauge,
-                         "state", fleet.members));
+                         "state", membership.members));
   out.push_back(Labelled("fleet_dropped", "Datagrams that changed nothing, by cause", MetricType::Counter,
-                         "cause", fleet.dropped));
-  out.push_back(Counter("fleet_suspicions_raised", "Suspicions of this gatekeeper", fleet.suspicions_raised));
+                         "cause", membership.dropped));
   out.push_back(
-      Counter("fleet_suspicions_refuted", "Of these: the suspect answered", fleet.suspicions_refuted));
+      Counter("fleet_suspicions_raised", "Suspicions of this gatekeeper", membership.suspicions_raised));
   out.push_back(
-      Counter("fleet_deaths_declared", "Deaths that this gatekeeper declared", fleet.deaths_declared));
-  out.push_back(Counter("fleet_view_changes", "Changes of the set of living members", fleet.view_changes));
+      Counter("fleet_suspicions_refuted", "Of these: the suspect answered", membership.suspicions_refuted));
   out.push_back(
-      Counter("fleet_name_conflicts", "Signs of two processes under one name", fleet.name_conflicts));
-  out.push_back(Counter("fleet_datagrams_sent", "Datagrams of the view", fleet.datagrams_sent));
-  out.push_back(Counter("fleet_bytes_sent", "Their bytes", fleet.bytes_sent));
-  out.push_back(Counter("fleet_held_back", "Datagrams not sent for want of budget", fleet.held_back));
+      Counter("fleet_deaths_declared", "Deaths that this gatekeeper declared", membership.deaths_declared));
+  out.push_back(
+      Counter("fleet_view_changes", "Changes of the set of living members", membership.view_changes));
+  out.push_back(
+      Counter("fleet_name_conflicts", "Signs of two processes under one name", membership.name_conflicts));
+  out.push_back(Counter("fleet_datagrams_sent", "Datagrams of the view", membership.datagrams_sent));
+  out.push_back(Counter("fleet_bytes_sent", "Their bytes", membership.bytes_sent));
+  out.push_back(Counter("fleet_held_back", "Datagrams not sent for want of budget", membership.held_back));
 }
 
 }  // namespace
@@ -124,33 +126,33 @@
   return "";
 }
 
-std::string Render(const Figures& figures, const Levels& levels) {
+std::string Render(const Metrics& metrics, const Levels& levels) {
   std::vector<MetricFamily> out{
-      ByClass("completed", "Requests served", figures, &ClassFigures::completed),
-      ByClass("rejected", "Requests refused", figures, &ClassFigures::rejected),
-      ByClass("failed", "Requests failed", figures, &ClassFigures::failed),
-      Counter("upstream_requests", "Attempts written whole to workers", figures.upstream_requests),
-      Counter("repeated_attempts", "Further attempts of requests", figures.repeated_attempts),
+      ByClass("completed", "Requests served", metrics, &ClassMetrics::completed),
+      ByClass("rejected", "Requests refused", metrics, &ClassMetrics::rejected),
+      ByClass("failed", "Requests failed", metrics, &ClassMetrics::failed),
+      Counter("upstream_requests", "Attempts written whole to workers", metrics.upstream_requests),
+      Counter("repeated_attempts", "Further attempts of requests", metrics.repeated_attempts),
       Labelled("attempts_ended", "Attempts by how they ended", MetricType::Counter, "result",
-               figures.attempts_ended),
+               metrics.attempts_ended),
       Labelled("client_connections_closed", "Connections of clients by why they ended", MetricType::Counter,
-               "reason", ByName<CloseReason>(figures.connections_closed)),
+               "reason", ByName<CloseReason>(metrics.connections_closed)),
       Labelled("refusals", "Requests refused by what refused them", MetricType::Counter, "reason",
-               ByName<RefusalReason>(figures.refusals)),
+               ByName<RefusalReason>(metrics.refusals)),
       Labelled("rule_violations", "Rules on what may be sent, repeated or closed that were broken",
-               MetricType::Counter, "rule", ByName<safety::Rule>(figures.rules.violated)),
+               MetricType::Counter, "rule", ByName<safety::Rule>(metrics.rules.violated)),
       Labelled("rule_preventions", "What was not done, for it would have broken a rule", MetricType::Counter,
-               "rule", ByName<safety::Rule>(figures.rules.prevented)),
+               "rule", ByName<safety::Rule>(metrics.rules.prevented)),
       Gauge("client_connections", "Connections of clients", levels.client_connections),
       Gauge("pending", "Requests taken and not ended", levels.pending),
       Gauge("members", "Workers in the list", levels.members),
       Gauge("members_unavailable", "Listed workers that are avoided now", levels.members_unavailable),
-      Counter("config_reloads", "Configurations taken on at SIGHUP", figures.config_reloads),
-      Counter("config_reload_errors", "Configurations turned down at SIGHUP", figures.config_reload_errors),
+      Counter("config_reloads", "Configurations taken on at SIGHUP", metrics.config_reloads),
+      Counter("config_reload_errors", "Configurations turned down at SIGHUP", metrics.config_reload_errors),
       Counter("over_quota_answers", "Answers that told of a customer beyond its quota",
-              figures.over_quota_answers),
-      Counter("odd_use", "Answers whose figures on use could not be read", figures.odd_use)};
-  if (levels.fleet) AddFleet(*levels.fleet, out);
+              metrics.over_quota_answers),
+      Counter("odd_use", "Answers whose figures on use could not be read", metrics.odd_use)};
+  if (levels.membership) AddMembership(*levels.membership, out);
   return prometheus::TextSerializer().Serialize(out);
 }
 
--- a/src/ops/figures.h
+++ b/src/ops/metrics.h
@@ -1,6 +1,6 @@
-// What the gatekeeper counts, each where it happens and once. Plain numbers: one thread counts and reads.
-#ifndef POSTSPREAD_OPS_FIGURES_H_
-#define POSTSPREAD_OPS_FIGURES_H_
+// What the gateway counts, each where it happens and once. Plain numbers: one thread counts and reads.
+#ifndef POSTSPREAD_OPS_METRICS_H_
+#define POSTSPREAD_OPS_METRICS_H_
 
 #include <array>
 #include <cstddef>
@@ -15,7 +15,7 @@
 namespace postspread::ops {
 
 // Requests by their final answer.
-struct ClassFigures {
+struct ClassMetrics {
   std::uint64_t completed = 0;  // served: the value's last byte was handed to the client's connection
   std::uint64_t rejected = 0;   // refused: trying again is harmless
   std::uint64_t failed = 0;
@@ -47,11 +47,11 @@
 inline constexpr std::size_t kRefusalReasons = 5;
 std::string_view Name(RefusalReason reason);
 
-struct Figures {
+struct Metrics {
   // By class, from when it was first configured for as long as the process lives: there are as many as the
   // configurations have named. An entry's address never changes.
-  std::map<std::string, ClassFigures, std::less<>> classes;
-  std::uint64_t upstream_requests = 0;  // attempts whose last byte has gone to a next hop's socket
+  std::map<std::string, ClassMetrics, std::less<>> classes;
+  std::uint64_t upstream_requests = 0;  // attempts whose last byte has gone to an upstream's socket
   std::uint64_t repeated_attempts = 0;  // further attempts of requests
   std::map<std::string, std::uint64_t> attempts_ended;  // by result
   std::array<std::uint64_t, kCloseReasons> connections_closed{};
@@ -64,14 +64,14 @@
 
   void Closed(CloseReason reason) { ++connections_closed[static_cast<std::size_t>(reason)]; }
   void Refused(RefusalReason reason) { ++refusals[static_cast<std::size_t>(reason)]; }
-  ClassFigures& Of(std::string_view name) {
+  ClassMetrics& Of(std::string_view name) {
     const auto found = classes.find(name);
     return found != classes.end() ? found->second : classes.try_emplace(std::string(name)).first->second;
   }
 };
 
-// Of the view of the fleet, where it is on.
-struct FleetFigures {
+// Of the membership view, where it is on.
+struct MembershipMetrics {
   std::map<std::string, std::size_t> members;    // by state
   std::map<std::string, std::uint64_t> dropped;  // datagrams, by cause
   std::uint64_t suspicions_raised = 0, suspicions_refuted = 0, deaths_declared = 0, view_changes = 0;
@@ -82,14 +82,14 @@
 struct Levels {
   std::size_t pending = 0;              // requests taken and not ended
   std::size_t client_connections = 0;   // open, those included whose end is awaited
-  std::size_t members = 0;              // next hops in the list
+  std::size_t members = 0;              // upstreams in the list
   std::size_t members_unavailable = 0;  // of these: avoided now
-  std::optional<FleetFigures> fleet{};
+  std::optional<MembershipMetrics> membership{};
 };
 
 // In the text format of Prometheus.
-std::string Render(const Figures& figures, const Levels& levels);
+std::string Render(const Metrics& metrics, const Levels& levels);
 
 }  // namespace postspread::ops
 
-#endif  // POSTSPREAD_OPS_FIGURES_H_
+#endif  // POSTSPREAD_OPS_METRICS_H_
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -11,22 +11,22 @@
 
 }  // namespace
 
-void StartTimes::Apply(RosterReport& report, Time now) {
-  if (report.scope != RosterScope::kChanges) {
+void StartTimes::Apply(EndpointListReport& report, Time now) {
+  if (report.scope != EndpointUpdateKind::kChanges) {
     for (auto& [name, start] : starts_) start.listed = false;
   }
-  for (NextHop& hop : report.next_hops) {
-    const auto [found, is_new] = starts_.try_emplace(hop.name);
+  for (Upstream& upstream : report.upstreams) {
+    const auto [found, is_new] = starts_.try_emplace(upstream.name);
     Start& start = found->second;
-    if (is_new || start.told != hop.started) {
-      start.told = hop.started;
-      start.estimate = Estimate(hop.started, now);
+    if (is_new || start.told != upstream.started) {
+      start.told = upstream.started;
+      start.estimate = Estimate(upstream.started, now);
     }
-    start.listed = hop.state != HopState::kGone;
-    hop.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
+    start.listed = upstream.state != UpstreamState::kGone;
+    upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
   // What the configuration remembers of earlier lists says nothing of when it was true.
-  if (report.scope != RosterScope::kRemembered) last_list_ = now;
+  if (report.scope != EndpointUpdateKind::kRemembered) last_list_ = now;
   ForgetUnlisted();
 }
 
--- a/src/planner/start_times.h
+++ b/src/planner/start_times.h
@@ -1,4 +1,4 @@
-// When each next hop last started, on this process's own clock. Discovery tells a start as wall time; the
+// When each upstream last started, on this process's own clock. Discovery tells a start as wall time; the
 // wall clock here or there may have been stepped, so that time is believed only within what the lists
 // themselves prove: a start is not younger than the list that first tells it, and not older than the last
 // list that did not. No I/O, no clock of its own.
@@ -19,9 +19,9 @@
  public:
   using Time = std::chrono::microseconds;  // since the Unix epoch, as the wall clock stood at our own start
 
-  // A list has come at `now`: rewrites the start of each next hop that it tells. The same start told again is
+  // A list has come at `now`: rewrites the start of each upstream that it tells. The same start told again is
   // given the same time.
-  void Apply(RosterReport& report, Time now);
+  void Apply(EndpointListReport& report, Time now);
 
  private:
   struct Start {
@@ -30,7 +30,7 @@
     bool listed = false;
   };
 
-  // Next hops that are no longer listed and are remembered all the same, as they may be listed again.
+  // Upstreams that are no longer listed and are remembered all the same, as they may be listed again.
   static constexpr std::size_t kUnlistedKept = 1'000;
 
   Time Estimate(std::chrono::milliseconds told, Time now) const;
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -10,21 +10,20 @@
 #include <variant>
 #include <vector>
 
+#include "model/request.h"
+
 namespace postspread::planner {
 
 using Clock = std::chrono::steady_clock;
 
-// Given out by the planner: a sender may use one id for several requests.
-using EnvelopeNumber = std::uint64_t;
-
-enum class HopState { kReady, kDraining, kGone };
+enum class UpstreamState { kReady, kDraining, kGone };
 
-struct NextHop {
+struct Upstream {
   std::string name;
   std::string zone;
   std::string kind;
   std::int64_t cell = 0;
-  HopState state = HopState::kReady;
+  UpstreamState state = UpstreamState::kReady;
   double weight = 1.0;
   std::chrono::milliseconds started{0};  // since the Unix epoch; 0: long ago
 };
@@ -41,86 +40,86 @@
 
 // What an answer tells of its customer and of the request itself, where the settings have these figures.
 struct Use {
-  double percent =
-      -1.0;            // of its rate, that the customer used over all gatekeepers of late; below 0: not told
-  double units = 0.0;  // true units of the request; 0: not told
-  bool odd = false;    // something under these names could not be read, and was skipped
+  double percent = -1.0;  // of its rate, that the customer used over all gateways of late; below 0: not told
+  double units = 0.0;     // true units of the request; 0: not told
+  bool odd = false;       // something under these names could not be read, and was skipped
 };
 
 // ---- Steps: to be carried out at once, in order.
 
-// Begins a delivery attempt. An envelope's attempts are numbered 0, 1, ... in the order of these steps.
-struct Deliver {
-  EnvelopeNumber envelope = 0;
+// Begins a delivery attempt. A request's attempts are numbered 0, 1, ... in the order of these steps.
+struct StartAttempt {
+  RequestId request = 0;
   int attempt = 0;
-  std::string next_hop;
+  std::string upstream;
   std::chrono::microseconds timeout{0};
   std::chrono::microseconds begin_within{0};  // its first byte may not arrive later
 };
 
 // Final answer: not done, and asking again is harmless.
-struct Defer {
-  EnvelopeNumber envelope = 0;
+struct RejectWithRetryAfter {
+  RequestId request = 0;
   std::chrono::microseconds retry_after{0};  // 0: no advice
 };
 
 // Final answer: promises nothing.
-enum class FailReason {
+enum class FailureReason {
   kFailed,
   kUnknown,     // an earlier request under the same key may have been carried out
   kOtherKey,    // the key belongs to another request
   kAnswerGone,  // an earlier request under the same key was carried out; its answer is held no longer
 };
-struct Fail {
-  EnvelopeNumber envelope = 0;
-  FailReason reason = FailReason::kFailed;
+struct FailRequest {
+  RequestId request = 0;
+  FailureReason reason = FailureReason::kFailed;
 };
 
-// Final answer: the value that a next hop gave for an earlier request under the same key.
-struct Serve {
-  EnvelopeNumber envelope = 0;
+// Final answer: the value that an upstream gave for an earlier request under the same key.
+struct CompleteRequest {
+  RequestId request = 0;
   std::shared_ptr<const std::string> value;
 };
 
-// Its sender has gone, and nothing needs the envelope any more.
-struct Forget {
-  EnvelopeNumber envelope = 0;
+// Its sender has gone, and nothing needs the request any more.
+struct ReleaseRequest {
+  RequestId request = 0;
 };
 
-// A datagram to the gatekeeper of this rank, or to all others.
-struct Tell {
+// A datagram to the gateway of this rank, or to all others.
+struct SendDatagram {
   static constexpr int kAll = -1;
   int rank = 0;
   std::string bytes;
 };
 
-// A datagram of the view of the fleet, to a place as this installation counts them.
-struct TellFleet {
-  std::uint64_t place = 0;
+// A datagram of the membership view, to a place as this installation counts them.
+struct SendMembershipDatagram {
+  std::uint64_t peer = 0;
   std::string bytes;
 };
 
-struct Abandon {
-  EnvelopeNumber envelope = 0;
+struct CancelAttempt {
+  RequestId request = 0;
   int attempt = 0;
 };
 
-struct AskCounter {
+struct CallCounter {
   std::string name;
   double amount = 0.0;
-  std::chrono::microseconds life{0};  // of a new name
+  std::chrono::microseconds incarnation{0};  // of a new name
 };
 
-struct ProbeHop {
-  std::string next_hop;
+struct ProbeUpstream {
+  std::string upstream;
 };
 
-struct Note {  // a line for the log
+struct LogEvent {  // a line for the log
   std::string line;
 };
 
-using Step =
-    std::variant<Deliver, Defer, Fail, Serve, Forget, Abandon, AskCounter, ProbeHop, Tell, TellFleet, Note>;
+using Action =
+    std::variant<StartAttempt, RejectWithRetryAfter, FailRequest, CompleteRequest, ReleaseRequest,
+                 CancelAttempt, CallCounter, ProbeUpstream, SendDatagram, SendMembershipDatagram, LogEvent>;
 
 // ---- Reports: what came back.
 
@@ -148,14 +147,14 @@
 
 // An attempt is over; told exactly once for each Deliver.
 struct AttemptReport {
-  EnvelopeNumber envelope = 0;
+  RequestId request = 0;
   int attempt = 0;
-  std::string next_hop;
+  std::string upstream;
   AttemptResult result = AttemptResult::kServed;
   std::chrono::microseconds elapsed{0};
   Load load{};
   Use use{};
-  std::string value{};  // with kServed, where Planner::Keeps the envelope's answer
+  std::string value{};  // with kServed, where Planner::Keeps the request's answer
 };
 
 enum class CounterResult { kAdded, kTurnedAway, kUnreachable, kNoAnswer };  // kNoAnswer: may have been added
@@ -168,39 +167,39 @@
   std::chrono::microseconds elapsed{0};
 };
 
-enum class RosterScope { kRemembered, kFull, kChanges };
+enum class EndpointUpdateKind { kRemembered, kFull, kChanges };
 
-struct RosterReport {
-  RosterScope scope = RosterScope::kFull;
+struct EndpointListReport {
+  EndpointUpdateKind scope = EndpointUpdateKind::kFull;
   std::uint64_t index = 0;
-  std::vector<NextHop> next_hops;
+  std::vector<Upstream> upstreams;
 };
 
 struct ProbeReport {
-  std::string next_hop;
+  std::string upstream;
   AttemptResult result = AttemptResult::kServed;
   std::chrono::microseconds elapsed{0};
   Load load{};
 };
 
-struct ClientGone {
-  EnvelopeNumber envelope = 0;
+struct ClientDisconnected {
+  RequestId request = 0;
 };
 
-// A datagram of the gatekeeper of this rank.
+// A datagram of the gateway of this rank.
 struct PeerReport {
   int rank = 0;
   std::string bytes;
 };
 
-// A datagram from a place, where the view of the fleet has a socket of its own.
-struct FleetReport {
-  std::uint64_t place = 0;
+// A datagram from a place, where the membership view has a socket of its own.
+struct MembershipReport {
+  std::uint64_t peer = 0;
   std::string bytes;
 };
 
-using ReportValue = std::variant<AttemptReport, CounterReport, RosterReport, ProbeReport, ClientGone,
-                                 PeerReport, FleetReport>;
+using ReportValue = std::variant<AttemptReport, CounterReport, EndpointListReport, ProbeReport,
+                                 ClientDisconnected, PeerReport, MembershipReport>;
 
 }  // namespace postspread::planner
 
--- a/src/policy/control.cpp
+++ b/src/policy/control.cpp
@@ -47,19 +47,19 @@
     if (!sweeping_) {
       sweeping_ = true;
       Do(SetTimer{kSweep, Token(kSweepDue, 0)});
-      if (set_.roster_mode == RosterMode::kSubscribe) Do(Subscribe{});
+      if (set_.discovery_mode == DiscoveryMode::kSubscribe) Do(Subscribe{});
     }
     std::visit([this](const auto& e) { On(e); }, event);
     out = nullptr;
   }
 
-  Roll Count(TimePoint at) const { return servers_.Count(at); }
+  UpstreamCounts Count(TimePoint at) const { return servers_.Count(at); }
 
  private:
   // ---- Arrival ----
 
   void On(const RequestEvent& e) {
-    Request& r = requests.insert_or_assign(e.id, Request{}).first->second;
+    RequestState& r = requests.insert_or_assign(e.id, RequestState{}).first->second;
     r.id = e.id;
     for (std::size_t i = 0; i < set_.classes.size(); ++i) {
       if (set_.classes[i].name == e.class_name) r.cls = static_cast<int>(i), r.rules = rules[i];
@@ -82,7 +82,7 @@
     Carry(r, quota_.Begin(r, e));
   }
 
-  void Carry(Request& r, const Verdict& verdict) {
+  void Carry(RequestState& r, const Verdict& verdict) {
     switch (verdict.what) {
       case Verdict::kNone:
         return;
@@ -98,14 +98,14 @@
   }
 
   void On(const CounterEvent& e) {
-    Request* r = nullptr;
+    RequestState* r = nullptr;
     const Verdict verdict = quota_.Answered(e, r);
     if (r != nullptr) Carry(*r, verdict);
   }
 
   // ---- Attempts and outcomes ----
 
-  void Dispatch(Request& r) {
+  void Dispatch(RequestState& r) {
     if (std::ssize(r.attempts) >= r.most_attempts || now_ >= r.deadline) return Ended(r);
     Servers::Server* s = servers_.Choose(r);
     // Where only cold ones are left the request ends: trying on would push them over.
@@ -122,12 +122,12 @@
     Do(SetTimer{Cls(r).aim, Token(kLateDue, r.id)});
   }
 
-  bool AnyOpen(const Request& r) const {
+  bool AnyOpen(const RequestState& r) const {
     return std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.open; });
   }
   // A server that says nothing for long while it holds work is stuck, dead or cut off: what may go elsewhere
   // does.
-  void Check(Request& r) {
+  void Check(RequestState& r) {
     if (r.stage != Stage::kOut || r.attempts.empty() || !r.attempts.back().open) return;
     const Servers::Server* s = servers_.Find(r.attempts.back().server);
     // In a queue all are late: a second copy would lengthen it, a move would lose its place.
@@ -145,7 +145,7 @@
     const auto it = requests.find(e.id);
     servers_.Note(e);
     if (it == requests.end()) return;
-    Request& r = it->second;
+    RequestState& r = it->second;
     const auto at = static_cast<std::size_t>(std::max(0, e.attempt));
     if (at >= r.attempts.size() || !r.attempts[at].open) return;
     r.attempts[at].open = false;
@@ -175,7 +175,7 @@
 
   // ---- The final answer ----
 
-  bool Harmless(const Request& r) const {
+  bool Harmless(const RequestState& r) const {
     const auto& tries = r.attempts;
     const bool before = r.pin && r.pin->may_have_run;
     const auto ran = [](const Attempt& a) { return a.may_have_run; };
@@ -185,7 +185,7 @@
 
   // Tells when to come back: not before there may be room, and not all at once. Guards against retry storms.
   // Harm: what was refused by mistake comes back too late.
-  void Refused(Request& r, Duration retry_after) {
+  void Refused(RequestState& r, Duration retry_after) {
     const double chance = Random();
     retry_after = FromSeconds(Seconds(retry_after) * (1 + kRetrySpread * chance));
     const Duration most = FromSeconds(Seconds(set_.max_retry_after) * (1 - kRetrySpread / 4 * chance));
@@ -195,7 +195,7 @@
     Close(r);
   }
 
-  void Ended(Request& r) {
+  void Ended(RequestState& r) {
     if (r.stage == Stage::kDone) return;
     // A server failed it: others have room, and what holds it up is mostly over within a usual answer's time.
     if (Harmless(r)) return Refused(r, std::max(set_.tick, FromSeconds(load_.Usual(r))));
@@ -204,7 +204,7 @@
   }
 
   // The request is over; attempts still out are called off, and kept until they report.
-  void Close(Request& r) {
+  void Close(RequestState& r) {
     if (r.stage != Stage::kDone) {
       if (r.attempts.empty() && (r.stage == Stage::kDelayed || r.stage == Stage::kReady)) quota_.Unsent(r);
       r.stage = Stage::kDone;
@@ -226,7 +226,7 @@
     if (kind == kListDue) return Do(Subscribe{});
     const auto it = requests.find(e.token & ((1ULL << 48) - 1));
     if (it == requests.end()) return;
-    Request& r = it->second;
+    RequestState& r = it->second;
     if (kind == kLateDue) {
       for (Attempt& a : r.attempts) {
         if (now_ - a.sent >= Cls(r).aim) load_.StopTiming(r, a, true);
@@ -250,8 +250,8 @@
 
   // ---- Servers and upkeep ----
 
-  void On(const RosterEvent& e) {
-    const bool lost = e.kind == RosterKind::kError && set_.roster_mode == RosterMode::kSubscribe;
+  void On(const EndpointListEvent& e) {
+    const bool lost = e.kind == EndpointListKind::kError && set_.discovery_mode == DiscoveryMode::kSubscribe;
     if (lost) Do(SetTimer{kEjectFirst, Token(kListDue, 0)});
     if (e.servers != nullptr) servers_.Listed(e);
   }
@@ -280,7 +280,7 @@
 Controller& Controller::operator=(Controller&&) noexcept = default;
 
 void Controller::Reconfigure(Settings settings) { impl_->Reconfigure(std::move(settings)); }
-Controller::Roll Controller::Count(TimePoint now) const { return impl_->Count(now); }
+Controller::UpstreamCounts Controller::Count(TimePoint now) const { return impl_->Count(now); }
 void Controller::Handle(const Event& event, TimePoint now, std::vector<Action>& out) {
   impl_->Handle(event, now, out);
 }
--- a/src/policy/load.h
+++ b/src/policy/load.h
@@ -2,7 +2,7 @@
 #ifndef POSTSPREAD_POLICY_LOAD_H_
 #define POSTSPREAD_POLICY_LOAD_H_
 
-#include "bookkeeping/load_figures.h"
+#include "statistics/load_statistics.h"
 
 namespace postspread::policy {
 
@@ -17,9 +17,9 @@
 
 constexpr double kFewShare = 0.1;  // weight of one answer in what must follow within seconds of few answers
 
-class Load : public LoadFigures {
+class Load : public LoadStatistics {
  public:
-  explicit Load(Core& core) : LoadFigures(core) {}
+  explicit Load(Core& core) : LoadStatistics(core) {}
 
   // The share of its aim that a request now spends in service.
   double Pressure(const ClassSettings& cls) {
@@ -29,7 +29,7 @@
 
   // Guards against queues longer than the aim: sheds what keeps service within it, most of what is worth
   // least by work. Harm: a stall of a few servers sheds briefly though others idle.
-  bool Shed(const Request& r) {
+  bool Shed(const RequestState& r) {
     if (r.cls < 0 || r.plan < 0) return false;
     Came(r);
     // Where evidence is slow to come and so the gain low, what passes the aim is shed in proportion at once.
@@ -58,7 +58,7 @@
  private:
   // What a request is worth by work, as a multiple of the mean of the traffic. Where the goal weighs the
   // worst-served plan and class, that part of it is worth the same for all.
-  double Value(const Request& r) {
+  double Value(const RequestState& r) {
     const auto worth = [this](std::size_t cls, std::size_t plan) {
       return set_.classes[cls].worth * set_.plans[plan].price / std::max(1e-3, UsualOf(cls));
     };
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -5,8 +5,8 @@
 #include <deque>
 #include <map>
 
-#include "bookkeeping/periods.h"
 #include "policy/load.h"
+#include "statistics/periods.h"
 
 namespace postspread::policy {
 
@@ -33,7 +33,7 @@
   Quota(Core& core, Load& load) : Part(core), load_(load) {}
 
   // A request has come in: asks the counter, or decides without it.
-  Verdict Begin(Request& r, const RequestEvent& e) {
+  Verdict Begin(RequestState& r, const RequestEvent& e) {
     Customer& c = customers_[r.customer];
     if (c.plan != r.plan || c.used.count() == 0) {
       c = Customer{.plan = r.plan, .phase = HashText(r.customer), .deficit_at = now_, .ceiling = {0, now_}};
@@ -50,7 +50,7 @@
   }
 
   // The counter has answered; what that decides on the request that `r` is set to.
-  Verdict Answered(const CounterEvent& e, Request*& r) {
+  Verdict Answered(const CounterEvent& e, RequestState*& r) {
     const auto found = calls_.find(e.name);
     if (found == calls_.end()) return {};
     const Call call = found->second.front();
@@ -90,7 +90,7 @@
     c->sliced = false;
     Observe(*c, call, e.total);
     if (call.kind == CallKind::kAsk) {
-      if (ask_share_ < 1) Do(Learnt{call.customer, c->demand});
+      if (ask_share_ < 1) Do(ObservedUsage{call.customer, c->demand});
       if (r != nullptr && r->stage == Stage::kAsking) return Decide(*r, *c, e.total, call.listed);
       // Decided meanwhile without the count: what was sent is counted already, what was not is taken back.
       const double units = call.amount - call.known;
@@ -110,22 +110,22 @@
   }
 
   // An ask has taken too long.
-  Verdict Late(Request& r) {
+  Verdict Late(RequestState& r) {
     Customer* c = FindCustomer(r.customer);
     return c == nullptr ? Verdict{} : DecideLocally(r, *c, true);
   }
 
   // A request that was to wait may go now.
-  Verdict Free(Request& r) {
+  Verdict Free(RequestState& r) {
     Customer* c = FindCustomer(r.customer);
     return c == nullptr ? Verdict{} : Send(r, *c);
   }
 
   // An attempt goes out, or is over; `true_units` is above 0 where its answer tells them.
-  void Sent(const Request& r) {
+  void Sent(const RequestState& r) {
     if (Customer* c = FindCustomer(r.customer)) ++c->open;
   }
-  void Back(Request& r, double true_units) {
+  void Back(RequestState& r, double true_units) {
     Customer* c = FindCustomer(r.customer);
     if (c == nullptr) return;
     c->open = std::max(0, c->open - 1);
@@ -135,7 +135,7 @@
   }
 
   // It ends before any attempt: what it was counted for is taken back from the period it was counted in.
-  void Unsent(const Request& r) {
+  void Unsent(const RequestState& r) {
     Customer* c = r.grant == Grant::kCounted ? FindCustomer(r.customer) : nullptr;
     if (c == nullptr) return;
     const bool ahead = c->ahead == r.moved_to && r.moved_to > Times(*c).At(now_);
@@ -205,7 +205,7 @@
   // A client's repeat, and while asks fail or come slowly any request, of a customer whose last total,
   // refilled since, leaves no room within the max wait is refused without an ask. Guards the counter against
   // floods and retry storms. Harm: take-backs of others are learnt late.
-  bool KnownFull(const Request& r, Customer& c) {
+  bool KnownFull(const RequestState& r, Customer& c) {
     Refill(c);
     const PlanSettings& p = Plan(c.plan);
     const double over = c.deficit + r.units - p.burst;
@@ -229,7 +229,7 @@
     Do(CounterAdd{name, amount, std::max(life, length)});
   }
 
-  void Ask(Request& r, Customer& c) {
+  void Ask(RequestState& r, Customer& c) {
     // Of thin customers it stands for those that do not ask; of others what was let in unasked rides along.
     r.weight = Plan(r.plan).ceiling_rate > 0 || !Thin(c) ? 1 : 1 / ask_share_;
     if (Thin(c) && c.settle < 0 && c.period != Times(c).At(now_)) c.settle = 0;
@@ -255,7 +255,7 @@
     return true;
   }
 
-  Verdict AskFailed(const Call& call, Customer* c, Request* r, CounterResult why) {
+  Verdict AskFailed(const Call& call, Customer* c, RequestState* r, CounterResult why) {
     if (std::exchange(failed_at_, now_) != now_ && ++ask_failures_ == kAskFailures) {
       down_since_ = now_;
       next_check_ = now_ + kCheckBack;
@@ -316,7 +316,7 @@
     c.deficit = std::max(0.0, c.deficit + added - call.known);
   }
 
-  Verdict Decide(Request& r, Customer& c, double total, bool listed) {
+  Verdict Decide(RequestState& r, Customer& c, double total, bool listed) {
     const PlanSettings& p = Plan(c.plan);
     // A repeat leaves a reserve to first tries and does not wait: it is answered late and earns little.
     // Guards against retry storms. Harm: a repeat after a fault of ours, the aim still ahead, is refused near
@@ -364,7 +364,7 @@
     c.ahead_total = total;
   }
 
-  Verdict Debt(Request& r, Customer& c, const Call& call, double total) {
+  Verdict Debt(RequestState& r, Customer& c, const Call& call, double total) {
     const Duration wait = DebtWait(c, call.period, total);
     NoteAhead(c, call, total);
     if (wait <= WaitLeft(r) && total <= Plan(c.plan).burst)
@@ -376,13 +376,13 @@
   bool Thin(const Customer& c) const { return Plan(c.plan).burst < set_.max_units * c.spread; }
 
   // How long a request can still wait and be served within its aim.
-  Duration WaitLeft(const Request& r) {
+  Duration WaitLeft(const RequestState& r) {
     const double left = Seconds(std::min(r.aim_at, r.deadline) - now_) * kWaitShare - 1.5 * load_.Usual(r);
     return r.retry ? Duration(0) : FromSeconds(left);
   }
 
   // Sending beyond the quota pays while servers have room: it earns more than it costs.
-  bool ExcessPays(const Request& r, Customer& c) {
+  bool ExcessPays(const RequestState& r, Customer& c) {
     const PlanSettings& p = Plan(c.plan);
     if (r.retry || p.excess_worth <= p.excess_cost || load_.Pressure(Cls(r)) > kRoomPressure) return false;
     return p.ceiling_rate <= 0 || DrawCeiling(c, r.units);
@@ -398,7 +398,7 @@
     return true;
   }
 
-  Verdict DecideLocally(Request& r, Customer& c, bool counted) {  // counted: by an ask that is out
+  Verdict DecideLocally(RequestState& r, Customer& c, bool counted) {  // counted: by an ask that is out
     const PlanSettings& p = Plan(c.plan);
     // Where an even slice of the burst is less than a request, slices would let nothing in. A request is then
     // let in with the chance that its customer's demand leaves it, by the last total or as others tell: on
@@ -431,7 +431,7 @@
   }
 
   // Cleared by the quota; a cap on attempts open at once is kept by an even slice of it.
-  Verdict Send(const Request& r, const Customer& c) const {
+  Verdict Send(const RequestState& r, const Customer& c) const {
     const double most = Plan(c.plan).max_open;
     if (most > 0 && c.open >= std::max(1.0, std::floor(most / c.spread))) {
       return Refuse(FromSeconds(load_.Usual(r)));
--- a/src/policy/servers.h
+++ b/src/policy/servers.h
@@ -52,8 +52,8 @@
     const auto it = servers_.find(id);
     return it == servers_.end() ? nullptr : &it->second;
   }
-  Controller::Roll Count(TimePoint now) const {
-    Controller::Roll out;
+  Controller::UpstreamCounts Count(TimePoint now) const {
+    Controller::UpstreamCounts out;
     for (const auto& [id, s] : servers_) {
       out.listed += s.listed;
       out.avoided += s.listed && (s.info.state != ServerState::kUp || now < s.ejected_until);
@@ -72,7 +72,7 @@
   // by its rank, and one drawn. Guards against knowing little of many servers: hundreds of gateways would
   // each have to meet a bad server to leave it. Harm: a gateway far busier than the rest loads its few. Those
   // that are out or were tried come in only when no other is left.
-  Server* Choose(const Request& r) {
+  Server* Choose(const RequestState& r) {
     if (up_.empty()) return nullptr;
     const auto tried = [&r](const Server& s) {
       return std::any_of(r.attempts.begin(), r.attempts.end(),
@@ -142,8 +142,8 @@
     }
   }
 
-  void Listed(const RosterEvent& e) {
-    if (e.kind != RosterKind::kPartial) {
+  void Listed(const EndpointListEvent& e) {
+    if (e.kind != EndpointListKind::kPartial) {
       for (auto& [id, s] : servers_) s.listed = false;
     }
     for (const ServerInfo& info : *e.servers) {
@@ -209,7 +209,7 @@
     return cost;
   }
 
-  bool InScope(const Request& r, const Server& s) const {
+  bool InScope(const RequestState& r, const Server& s) const {
     const ClassSettings& cls = Cls(r);
     if (now_ >= RepeatUntil(r)) return false;
     if (r.pin && r.pin->bound && cls.scope == Scope::kZone && s.info.zone != r.pin->zone) return false;
--- a/src/resp/frame.h
+++ b/src/resp/frame.h
@@ -35,7 +35,7 @@
 };
 Progress ParseCommand(std::string_view bytes, Command& out);
 
-// An answer: of a next hop or of the counter.
+// An answer: of an upstream or of the counter.
 struct Reply {
   enum class Kind { kSimple, kError, kInteger, kBulk, kNull, kArray };
   struct Part {
--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -10,10 +10,10 @@
 namespace postspread::resp {
 namespace {
 
-constexpr std::size_t kMaxExtras = 1024;            // bytes of names and values
-constexpr std::size_t kMaxId = 128;                 // bytes of a request's id
-constexpr std::uint64_t kCustomers = 1ULL << 33;    // customers are numbered below this
-constexpr long kMaxPatienceMs = 24L * 3600 * 1000;  // what waits longer has a fault in its clock
+constexpr std::size_t kMaxExtras = 1024;           // bytes of names and values
+constexpr std::size_t kMaxId = 128;                // bytes of a request's id
+constexpr std::uint64_t kCustomers = 1ULL << 33;   // customers are numbered below this
+constexpr long kMaxTimeoutMs = 24L * 3600 * 1000;  // what waits longer has a fault in its clock
 
 template <typename T>
 bool ToNumber(std::string_view text, T& out) {
@@ -39,32 +39,32 @@
 
 }  // namespace
 
-Letter::Letter(std::string_view message, std::string_view extras, std::string_view patience)
+EncodedRequest::EncodedRequest(std::string_view message, std::string_view extras, std::string_view timeout)
     : message_(std::make_shared<const std::string>(message)),
       extras_at_(static_cast<std::size_t>(extras.data() - message.data())),
       extras_size_(extras.size()),
-      patience_at_(static_cast<std::size_t>(patience.data() - message.data())),
-      patience_size_(patience.size()) {
+      timeout_at_(static_cast<std::size_t>(timeout.data() - message.data())),
+      timeout_size_(timeout.size()) {
   length_at_ = message_->rfind('$', extras_at_) + 1;
 }
 
-void Letter::RenderHead(std::chrono::milliseconds wait, std::string& out) const {
+void EncodedRequest::RenderHead(std::chrono::milliseconds wait, std::string& out) const {
   std::array<char, 24> digits;
   const auto* digits_end = std::to_chars(digits.data(), digits.data() + digits.size(), wait.count()).ptr;
-  const std::string_view patience(digits.data(), static_cast<std::size_t>(digits_end - digits.data()));
+  const std::string_view timeout(digits.data(), static_cast<std::size_t>(digits_end - digits.data()));
   const std::string_view message = *message_;
   out += message.substr(0, length_at_);
-  out += std::to_string(extras_size_ - patience_size_ + patience.size());
+  out += std::to_string(extras_size_ - timeout_size_ + timeout.size());
   out += "\r\n";
-  out += message.substr(extras_at_, patience_at_ - extras_at_);
-  out += patience;
+  out += message.substr(extras_at_, timeout_at_ - extras_at_);
+  out += timeout;
 }
 
-std::string_view Letter::tail() const {
-  return std::string_view(*message_).substr(patience_at_ + patience_size_);
+std::string_view EncodedRequest::tail() const {
+  return std::string_view(*message_).substr(timeout_at_ + timeout_size_);
 }
 
-const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, Request& out) {
+const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, DecodedRequest& out) {
   const std::string_view verb = command.parts[0];
   const bool is_write = verb == "API.WRITE";
   if (!is_write && verb != "API.READ") return "unknown command";
@@ -74,9 +74,9 @@
   out.id = command.parts[2];
   out.extras = command.parts[3];
   if (out.extras.size() > kMaxExtras) return "names and values too long";
-  out.patience = {};
-  Envelope& envelope = out.envelope;
-  envelope = Envelope{.customer = command.parts[1], .is_write = is_write};
+  out.timeout = {};
+  Request& request = out.request;
+  request = Request{.customer = command.parts[1], .is_write = is_write};
 
   const Vocabulary::Class* cls = nullptr;
   bool has_key = false, has_units = false, has_spread = false, has_first = false, has_retry = false;
@@ -92,41 +92,38 @@
                                       [value](const auto& c) { return c.name == value; });
       if (found == vocabulary.classes.end()) return "unknown class";
       cls = &*found;
-      envelope.class_name = value;
+      request.class_name = value;
     } else if (name == "t") {
-      if (!envelope.plan.empty()) return "name given twice";
+      if (!request.plan.empty()) return "name given twice";
       if (std::find(vocabulary.plans.begin(), vocabulary.plans.end(), value) == vocabulary.plans.end()) {
         return "unknown plan";
       }
-      envelope.plan = value;
+      request.plan = value;
     } else if (name == "d") {
-      if (!out.patience.empty()) return "name given twice";
+      if (!out.timeout.empty()) return "name given twice";
       long ms = 0;
-      if (!ToNumber(value, ms) || ms < 1 || ms > kMaxPatienceMs) return "bad d";
-      out.patience = value;
-      envelope.patience = std::chrono::milliseconds(ms);
+      if (!ToNumber(value, ms) || ms < 1 || ms > kMaxTimeoutMs) return "bad d";
+      out.timeout = value;
+      request.timeout = std::chrono::milliseconds(ms);
     } else if (name == "units") {
       if (std::exchange(has_units, true)) return "name given twice";
-      if (!ToNumber(value, envelope.units) || !(envelope.units > 0) ||
-          envelope.units > vocabulary.max_units) {
+      if (!ToNumber(value, request.units) || !(request.units > 0) || request.units > vocabulary.max_units) {
         return "bad units";
       }
     } else if (name == "spread") {
       if (std::exchange(has_spread, true)) return "name given twice";
-      if (!ToNumber(value, envelope.spread) || envelope.spread < 1 ||
-          envelope.spread > vocabulary.gatekeepers) {
+      if (!ToNumber(value, request.spread) || request.spread < 1 || request.spread > vocabulary.gateways) {
         return "bad spread";
       }
     } else if (name == "first") {
       if (std::exchange(has_first, true)) return "name given twice";
-      if (!ToNumber(value, envelope.first) || envelope.first < 0 ||
-          envelope.first >= vocabulary.gatekeepers) {
+      if (!ToNumber(value, request.first) || request.first < 0 || request.first >= vocabulary.gateways) {
         return "bad first";
       }
     } else if (name == "r") {
       if (std::exchange(has_retry, true)) return "name given twice";
       if (value != "0" && value != "1") return "bad r";
-      envelope.is_retry = value == "1";
+      request.is_retry = value == "1";
     } else if (name == "k") {
       if (std::exchange(has_key, true)) return "name given twice";
       if (value.empty()) return "bad k";
@@ -134,15 +131,15 @@
     }
   }
   if (cls == nullptr) return "c is missing";
-  if (envelope.plan.empty()) return "t is missing";
-  if (out.patience.empty()) return "d is missing";
+  if (request.plan.empty()) return "t is missing";
+  if (out.timeout.empty()) return "d is missing";
   if (!has_units) return "units is missing";
   if (!has_spread) return "spread is missing";
   if (!has_first) return "first is missing";
   if (cls->is_safe == is_write) return "wrong command for this class";
   if (cls->is_keyed && !has_key) return "k is missing";
-  if (cls->is_keyed) envelope.key = key;
-  if (is_write) envelope.body = command.parts[4];
+  if (cls->is_keyed) request.key = key;
+  if (is_write) request.body = command.parts[4];
   return nullptr;
 }
 
--- a/src/resp/request.h
+++ b/src/resp/request.h
@@ -1,4 +1,4 @@
-// A client's command into an Envelope, and the form in which it is passed on to a next hop.
+// A client's command into an Request, and the form in which it is passed on to an upstream.
 #ifndef POSTSPREAD_RESP_REQUEST_H_
 #define POSTSPREAD_RESP_REQUEST_H_
 
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "envelope.h"
+#include "model/request.h"
 #include "planner/types.h"
 #include "resp/frame.h"
 
@@ -23,16 +23,16 @@
   };
   std::vector<Class> classes;
   std::vector<std::string> plans;
-  int gatekeepers = 1;
+  int gateways = 1;
   double max_units = 1.0;
 };
 
 // A command that outlives the buffer it came in: all of it as received, but for the time that it tells.
-class Letter {
+class EncodedRequest {
  public:
-  Letter() = default;
+  EncodedRequest() = default;
   // `extras` and `patience` are slices of `message`; `patience` holds the digits of d.
-  Letter(std::string_view message, std::string_view extras, std::string_view patience);
+  EncodedRequest(std::string_view message, std::string_view extras, std::string_view timeout);
 
   // Appends the command up to and with `wait` in the place of the time that it told; the tail follows.
   void RenderHead(std::chrono::milliseconds wait, std::string& out) const;
@@ -45,18 +45,18 @@
   std::shared_ptr<const std::string> message_;
   std::size_t length_at_ = 0;  // of the header of the extras, behind its '$'
   std::size_t extras_at_ = 0, extras_size_ = 0;
-  std::size_t patience_at_ = 0, patience_size_ = 0;
+  std::size_t timeout_at_ = 0, timeout_size_ = 0;
 };
 
-struct Request {
-  Envelope envelope;  // slices of the command
+struct DecodedRequest {
+  Request request;  // slices of the command
   std::string_view id;
-  std::string_view extras;    // the names and values
-  std::string_view patience;  // the digits of d in them
+  std::string_view extras;   // the names and values
+  std::string_view timeout;  // the digits of d in them
 };
 
 // Returns what is wrong with the command, or null where it is sound.
-const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, Request& out);
+const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, DecodedRequest& out);
 
 // The load report of an answer, or of the end of an error line. Fields that are not known are skipped.
 planner::Load DecodeLoad(std::string_view text);
--- a/src/safety/connection_rules.h
+++ b/src/safety/connection_rules.h
@@ -47,11 +47,11 @@
 };
 struct LingerLimits {
   std::chrono::milliseconds linger{1'000};
-  std::chrono::milliseconds patience{10'000};
+  std::chrono::milliseconds timeout{10'000};
   std::chrono::milliseconds most{2'000};  // for one that has all answers and goes on sending
 };
 constexpr bool MayClose(const LingerFacts& facts, const LingerLimits& limits) {
-  if (facts.unacknowledged > 0) return facts.since_progress >= limits.patience;
+  if (facts.unacknowledged > 0) return facts.since_progress >= limits.timeout;
   // Who still sends has not come to the end of what it reads.
   const bool quiet = facts.since_progress >= limits.linger || facts.since_shutdown >= limits.most;
   return facts.since_shutdown >= limits.linger && quiet;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -70,8 +70,9 @@
     Bad("members \"Rank\" and \"GroupSize\" contradict one another: " + std::to_string(out.rank) + " of " +
         std::to_string(out.group_size));
   }
-  out.roster_mode = WordOr(from, "MembershipMode", RosterMode::kPushed,
-                           {{"automatic", RosterMode::kPushed}, {"subscribe", RosterMode::kSubscribe}});
+  out.discovery_mode =
+      WordOr(from, "MembershipMode", DiscoveryMode::kPushed,
+             {{"automatic", DiscoveryMode::kPushed}, {"subscribe", DiscoveryMode::kSubscribe}});
   out.weights = WordOr(from, "Weights", WeightMeaning::kNone,
                        {{"none", WeightMeaning::kNone},
                         {"nominal", WeightMeaning::kNominal},
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,4 +1,4 @@
-// The settings object of a deployment, as JSON, into Settings; used by the adapter and the gatekeeper alike.
+// The settings object of a deployment, as JSON, into Settings; used by the adapter and the gateway alike.
 #ifndef POSTSPREAD_SETTINGS_H_
 #define POSTSPREAD_SETTINGS_H_
 
--- a/src/simhost.cpp
+++ b/src/simulator/main.cpp
@@ -7,43 +7,43 @@
 #include <vector>
 
 #include "postspread/control.h"
-#include "wire.h"
+#include "simulator/wire.h"
 
 namespace {
 
 using postspread::Action;
 using postspread::Controller;
 using postspread::TimePoint;
-namespace wire = postspread::wire;
+namespace simulator = postspread::simulator;
 
 class Host {
  public:
   // Takes one message; returns true when a reply is due.
-  bool Take(wire::Message message) {
-    if (const auto* start = std::get_if<wire::BatchStart>(&message)) {
-      if (in_batch_) throw wire::WireError("a batch begins inside a batch");
-      if (start->now < now_) throw wire::WireError("the clock runs backwards");
+  bool Take(simulator::Message message) {
+    if (const auto* start = std::get_if<simulator::BatchStart>(&message)) {
+      if (in_batch_) throw simulator::WireError("a batch begins inside a batch");
+      if (start->now < now_) throw simulator::WireError("the clock runs backwards");
       now_ = start->now;
       in_batch_ = true;
       return false;
     }
-    if (!in_batch_) throw wire::WireError("a line outside a batch");
-    if (std::holds_alternative<wire::BatchEnd>(message)) {
+    if (!in_batch_) throw simulator::WireError("a line outside a batch");
+    if (std::holds_alternative<simulator::BatchEnd>(message)) {
       in_batch_ = false;
       return true;
     }
-    if (auto* start = std::get_if<wire::InstanceStart>(&message)) {
+    if (auto* start = std::get_if<simulator::InstanceStart>(&message)) {
       instances_.insert_or_assign(start->instance, Controller(std::move(start->settings), start->seed, now_));
-    } else if (const auto* stop = std::get_if<wire::InstanceStop>(&message)) {
+    } else if (const auto* stop = std::get_if<simulator::InstanceStop>(&message)) {
       instances_.erase(stop->instance);
-    } else if (const auto* event = std::get_if<wire::InstanceEvent>(&message)) {
+    } else if (const auto* event = std::get_if<simulator::InstanceEvent>(&message)) {
       const auto instance = instances_.find(event->instance);
       if (instance == instances_.end())
-        throw wire::WireError("an event for an instance that was not started");
+        throw simulator::WireError("an event for an instance that was not started");
       actions_.clear();
       instance->second.Handle(event->event, now_, actions_);
       for (const Action& action : actions_) {
-        const std::string line = wire::Encode(event->instance, action);
+        const std::string line = simulator::Encode(event->instance, action);
         if (!line.empty()) reply_ += line + '\n';
       }
     }
@@ -53,7 +53,7 @@
   std::string TakeReply() {
     std::string reply = std::move(reply_);
     reply_.clear();
-    return reply + wire::EncodeReplyEnd() + "\n";
+    return reply + simulator::EncodeReplyEnd() + "\n";
   }
 
   bool in_batch() const { return in_batch_; }
@@ -72,7 +72,7 @@
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   Host host;
-  wire::Decoder decoder;
+  simulator::Decoder decoder;
   std::string line;
   long number = 0;
   try {
@@ -81,9 +81,9 @@
       if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
       if (host.Take(decoder.Decode(line))) std::cout << host.TakeReply() << std::flush;
     }
-    if (host.in_batch()) throw wire::WireError("the input ends inside a batch");
-  } catch (const wire::WireError& error) {
-    std::cerr << "postspread_simhost: line " << number << ": " << error.what() << "\n";
+    if (host.in_batch()) throw simulator::WireError("the input ends inside a batch");
+  } catch (const simulator::WireError& error) {
+    std::cerr << "postspread_simulator_adapter: line " << number << ": " << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator/wire.h"
 
 #include <charconv>
 #include <limits>
@@ -6,7 +6,7 @@
 
 #include "settings.h"
 
-namespace postspread::wire {
+namespace postspread::simulator {
 namespace {
 
 using namespace json_read;
@@ -182,7 +182,7 @@
     out["Enable"] = true;
     return out;
   }
-  json operator()(const Learnt&) const { return nullptr; }
+  json operator()(const ObservedUsage&) const { return nullptr; }
   json operator()(const Log& a) const {
     json out = Begin(instance, "Emit");
     out["Line"] = a.line;
@@ -230,19 +230,19 @@
                                                     DecodeBase64(TextOr(from, "Content"))}};
   }
   if (type == "PeersKnown") {
-    RosterEvent roster;
-    roster.kind = Word<RosterKind>(from, "Mode",
-                                   {{"Partial", RosterKind::kPartial},
-                                    {"Complete", RosterKind::kComplete},
-                                    {"Persisted", RosterKind::kPersisted},
-                                    {"Error", RosterKind::kError}});
-    roster.version = static_cast<std::uint64_t>(IntegerOr(from, "Index", 0));
-    if (roster.kind != RosterKind::kError) {
+    EndpointListEvent endpoint_list;
+    endpoint_list.kind = Word<EndpointListKind>(from, "Mode",
+                                                {{"Partial", EndpointListKind::kPartial},
+                                                 {"Complete", EndpointListKind::kComplete},
+                                                 {"Persisted", EndpointListKind::kPersisted},
+                                                 {"Error", EndpointListKind::kError}});
+    endpoint_list.version = static_cast<std::uint64_t>(IntegerOr(from, "Index", 0));
+    if (endpoint_list.kind != EndpointListKind::kError) {
       const auto list = lists_.find(IntegerOr(from, "Buffer", 0));
       if (list == lists_.end()) Bad("member \"Buffer\" names a list that was not given");
-      roster.servers = list->second;
+      endpoint_list.servers = list->second;
     }
-    return InstanceEvent{instance, std::move(roster)};
+    return InstanceEvent{instance, std::move(endpoint_list)};
   }
   Bad("unknown event_type \"" + type + "\"");
 }
@@ -254,4 +254,4 @@
 
 std::string EncodeReplyEnd() { return R"({"event_type":"End"})"; }
 
-}  // namespace postspread::wire
+}  // namespace postspread::simulator
--- a/src/wire.h
+++ b/src/simulator/wire.h
@@ -1,6 +1,6 @@
 // JSON lines of the simulator's wire to and from the structs of postspread/control.h. Pure translation.
-#ifndef POSTSPREAD_WIRE_H_
-#define POSTSPREAD_WIRE_H_
+#ifndef POSTSPREAD_SIMULATOR_WIRE_H_
+#define POSTSPREAD_SIMULATOR_WIRE_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include "json_read.h"
 #include "postspread/control.h"
 
-namespace postspread::wire {
+namespace postspread::simulator {
 
 // What was wrong with a line, in plain words.
 using WireError = json_read::JsonError;
@@ -52,6 +52,6 @@
 std::string Encode(std::int64_t instance, const Action& action);
 std::string EncodeReplyEnd();
 
-}  // namespace postspread::wire
+}  // namespace postspread::simulator
 
-#endif  // POSTSPREAD_WIRE_H_
+#endif  // POSTSPREAD_SIMULATOR_WIRE_H_
--- a/src/bookkeeping/core.h
+++ b/src/statistics/core.h
@@ -1,13 +1,13 @@
 // What the parts of the module share: settings in force, the clock of the event, requests, the way out.
-#ifndef POSTSPREAD_BOOKKEEPING_CORE_H_
-#define POSTSPREAD_BOOKKEEPING_CORE_H_
+#ifndef POSTSPREAD_STATISTICS_CORE_H_
+#define POSTSPREAD_STATISTICS_CORE_H_
 
 #include <algorithm>
 #include <unordered_map>
 #include <utility>
 
-#include "bookkeeping/measure.h"
 #include "postspread/control.h"
+#include "statistics/measure.h"
 
 namespace postspread::policy {
 
@@ -24,7 +24,7 @@
 enum class Stage { kAsking, kDelayed, kReady, kOut, kDone };
 enum class Grant { kNone, kCounted, kLocal, kExcess };
 
-struct Request {
+struct RequestState {
   RequestId id = 0;
   int cls = -1, plan = -1, most_attempts = 1;  // of the settings as they were when it came; -1: not there
   std::shared_ptr<const ClassSettings> rules;
@@ -55,7 +55,7 @@
   TimePoint now{0}, start{0};
   TimePoint stall_end{0};  // when this gateway last found that it had stood still
   std::vector<Action>* out = nullptr;
-  std::unordered_map<RequestId, Request> requests{};
+  std::unordered_map<RequestId, RequestState> requests{};
 };
 
 // A part's view of it.
@@ -69,12 +69,12 @@
     return static_cast<double>(core_.random >> 11) * 0x1p-53;
   }
 
-  const ClassSettings& Cls(const Request& r) const {
+  const ClassSettings& Cls(const RequestState& r) const {
     static const ClassSettings kUnknown{"", Duration(1), Duration(1), Repeat::kUnsafe};
     return r.rules == nullptr ? kUnknown : *r.rules;
   }
   // Until when what may have run before is still known as the same; the deadline where nothing may have.
-  TimePoint RepeatUntil(const Request& r) const {
+  TimePoint RepeatUntil(const RequestState& r) const {
     TimePoint out = r.pin && r.pin->may_have_run ? std::min(r.deadline, r.key_until) : r.deadline;
     for (const Attempt& a : r.attempts) {
       if (a.may_have_run && Cls(r).repeat == Repeat::kKeyed) out = std::min(out, a.sent + Cls(r).key_ttl);
@@ -90,9 +90,9 @@
   const Settings& set_;
   const Duration& max_aim_;
   const TimePoint& now_;
-  std::unordered_map<RequestId, Request>& requests_;
+  std::unordered_map<RequestId, RequestState>& requests_;
 };
 
 }  // namespace postspread::policy
 
-#endif  // POSTSPREAD_BOOKKEEPING_CORE_H_
+#endif  // POSTSPREAD_STATISTICS_CORE_H_
--- a/src/bookkeeping/load_figures.h
+++ b/src/statistics/load_statistics.h
@@ -1,12 +1,12 @@
 // What a gateway sees of its servers' load: attempts out, answers, service times by class, the mix of
 // traffic. Figures only; src/policy/load.h says what follows from them. Memory is bounded by classes times
 // plans.
-#ifndef POSTSPREAD_BOOKKEEPING_LOAD_FIGURES_H_
-#define POSTSPREAD_BOOKKEEPING_LOAD_FIGURES_H_
+#ifndef POSTSPREAD_STATISTICS_LOAD_STATISTICS_H_
+#define POSTSPREAD_STATISTICS_LOAD_STATISTICS_H_
 
 #include <vector>
 
-#include "bookkeeping/core.h"
+#include "statistics/core.h"
 
 namespace postspread::policy {
 
@@ -24,9 +24,9 @@
 constexpr double kLengthMost = 4;       // how much longer or shorter than the mean a class may count
 constexpr double kBaseMost = 0.2;       // of the longest aim: what takes longer was learnt in a queue
 
-class LoadFigures : protected Part {
+class LoadStatistics : protected Part {
  public:
-  explicit LoadFigures(Core& core) : Part(core) {}
+  explicit LoadStatistics(Core& core) : Part(core) {}
 
   // Classes keep their places; what was learnt of a place goes with its name.
   void Reconfigure(const std::vector<ClassSettings>& before) {
@@ -37,15 +37,15 @@
     for (std::size_t i = 0; i < classes; ++i) {
       if (i < before.size() && before[i].name == set_.classes[i].name) continue;
       class_latency_[i] = class_plain_[i] = 0;
-      std::fill_n(traffic_.begin() + static_cast<std::ptrdiff_t>(i * plans), plans, Fading{});
+      std::fill_n(traffic_.begin() + static_cast<std::ptrdiff_t>(i * plans), plans, DecayingAverage{});
     }
   }
 
   // What passed without an event tells nothing of the servers.
   void StoodStill(TimePoint at) { open_at_ = at; }
 
-  std::size_t Slot(const Request& r) const { return r.cls * set_.plans.size() + r.plan; }
-  void Came(const Request& r) { traffic_[Slot(r)].Add(now_, r.units, kTrafficS); }
+  std::size_t Slot(const RequestState& r) const { return r.cls * set_.plans.size() + r.plan; }
+  void Came(const RequestState& r) { traffic_[Slot(r)].Add(now_, r.units, kTrafficS); }
 
   // else its mean would be chance and would shed while servers idle. Harm: it answers a surge later.
   double MemoryS() {
@@ -55,7 +55,7 @@
         kTrafficS);
   }
 
-  double Usual(const Request& r) const {
+  double Usual(const RequestState& r) const {
     return r.cls < 0 ? 0.0 : class_latency_[static_cast<std::size_t>(r.cls)];
   }
 
@@ -72,7 +72,7 @@
   // against a shed that feeds itself: what is dear and long gets through alone, its plain service looks like
   // a queue, and all else stays shed while servers idle. Harm: none seen; before a class is learnt it counts
   // as the mean.
-  double Length(const Request& r) const {
+  double Length(const RequestState& r) const {
     double sum = 0, total = 0;
     for (std::size_t i = 0; i < traffic_.size(); ++i) {
       const double plain = class_plain_[i / set_.plans.size()];
@@ -83,7 +83,7 @@
   }
 
   // An attempt leaves the load figures: it was served or ended, or its aim passed.
-  void StopTiming(const Request& r, Attempt& a, bool counts) {
+  void StopTiming(const RequestState& r, Attempt& a, bool counts) {
     if (a.timed) CountOpen(-1);
     if (!std::exchange(a.timed, false) || !counts) return;
     answered_.sum += Length(r);
@@ -144,17 +144,17 @@
   }
 
  private:
-  Fading busy_, answered_, rate_;  // rate_: answers within kTrafficS
-  Fading used_, used_n_;           // reported use of servers, summed, and the reports
+  DecayingAverage busy_, answered_, rate_;  // rate_: answers within kTrafficS
+  DecayingAverage used_, used_n_;           // reported use of servers, summed, and the reports
   TimePoint open_at_{0};
   int open_ = 0;
   double base_latency_ = 0.0;
   double usual_out_ = 0.0;             // attempts out in good times
   std::vector<double> class_latency_;  // s: the mean of late
   std::vector<double> class_plain_;    // s: the fast tenth or so
-  std::vector<Fading> traffic_;
+  std::vector<DecayingAverage> traffic_;
 };
 
 }  // namespace postspread::policy
 
-#endif  // POSTSPREAD_BOOKKEEPING_LOAD_FIGURES_H_
+#endif  // POSTSPREAD_STATISTICS_LOAD_STATISTICS_H_
--- a/src/bookkeeping/measure.h
+++ b/src/statistics/measure.h
@@ -1,6 +1,6 @@
 // Bookkeeping that decides nothing: spans in seconds, fading sums, stores that fill, random bits.
-#ifndef POSTSPREAD_BOOKKEEPING_MEASURE_H_
-#define POSTSPREAD_BOOKKEEPING_MEASURE_H_
+#ifndef POSTSPREAD_STATISTICS_MEASURE_H_
+#define POSTSPREAD_STATISTICS_MEASURE_H_
 
 #include <algorithm>
 #include <chrono>
@@ -32,7 +32,7 @@
 }
 
 // An average that forgets exponentially with time.
-struct Fading {
+struct DecayingAverage {
   double sum = 0.0;
   TimePoint at{0};
   void Decay(TimePoint now, double memory_s) {
@@ -57,4 +57,4 @@
 
 }  // namespace postspread
 
-#endif  // POSTSPREAD_BOOKKEEPING_MEASURE_H_
+#endif  // POSTSPREAD_STATISTICS_MEASURE_H_
--- a/src/bookkeeping/periods.h
+++ b/src/statistics/periods.h
@@ -1,9 +1,9 @@
 // A customer's periods, by which gateways name its counts: as long as its store takes to fill, numbered by
 // the wall clock, and shifted by customer so that their edges do not coincide.
-#ifndef POSTSPREAD_BOOKKEEPING_PERIODS_H_
-#define POSTSPREAD_BOOKKEEPING_PERIODS_H_
+#ifndef POSTSPREAD_STATISTICS_PERIODS_H_
+#define POSTSPREAD_STATISTICS_PERIODS_H_
 
-#include "bookkeeping/measure.h"
+#include "statistics/measure.h"
 
 namespace postspread::policy {
 
@@ -22,4 +22,4 @@
 
 }  // namespace postspread::policy
 
-#endif  // POSTSPREAD_BOOKKEEPING_PERIODS_H_
+#endif  // POSTSPREAD_STATISTICS_PERIODS_H_
--- a/src/concert/subset.cpp
+++ b/src/subsetting/subset.cpp
@@ -1,4 +1,4 @@
-#include "concert/subset.h"
+#include "subsetting/subset.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,7 +8,7 @@
 #include <map>
 #include <utility>
 
-namespace postspread::concert {
+namespace postspread::subsetting {
 namespace {
 
 // Where that many times the nodes that would be taken are all there are, all are taken: a part of few is no
@@ -25,11 +25,11 @@
 };
 
 // Units of a zone that an arc covers, as wide as `wanted` nodes at least.
-void Cover(const std::vector<Unit>& units, std::size_t wanted, std::size_t ready, const Seat& seat,
-           std::vector<Place>& out) {
+void Cover(const std::vector<Unit>& units, std::size_t wanted, std::size_t ready,
+           const RingPosition& position, std::vector<Assignment>& out) {
   if (wanted == 0 || ready == 0) return;
   const auto all = static_cast<double>(ready);
-  const auto count = static_cast<double>(seat.count);
+  const auto count = static_cast<double>(position.count);
   double width = std::ceil(count * static_cast<double>(wanted) / all) / count;
   if (all <= kTakeAll * static_cast<double>(wanted)) width = 1;
   if (width >= 1) {
@@ -40,7 +40,7 @@
   }
   double total = 0;
   for (const Unit& unit : units) total += unit.weight;
-  const double begin = static_cast<double>(seat.index) / count, end = begin + width;
+  const double begin = static_cast<double>(position.index) / count, end = begin + width;
   double at = 0;
   for (const Unit& unit : units) {
     const double from = at / total, to = (at + unit.weight) / total;
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-Seat SeatOf(std::string_view own, const std::vector<std::string>& members) {
-  Seat out{0, 1};
+RingPosition RingPositionOf(std::string_view own, const std::vector<std::string>& members) {
+  RingPosition out{0, 1};
   const std::uint64_t digest = Digest(own);
   for (const std::string& member : members) {
     if (member == own) continue;
@@ -68,8 +68,8 @@
   return out;
 }
 
-std::vector<Place> Subset(const Limits& limits, const Seat& seat, std::string_view own_zone, bool by_pod,
-                          const std::vector<Node>& nodes) {
+std::vector<Assignment> Subset(const Limits& limits, const RingPosition& position, std::string_view own_zone,
+                               bool by_pod, const std::vector<Node>& nodes) {
   struct Zone {
     std::vector<Unit> units;
     std::size_t ready = 0;
@@ -95,13 +95,13 @@
   // Without zones, or with the own one lost, the others carry what that would have.
   std::size_t each = limits.least;
   if (own_ready < limits.least && others > 0) each = std::max(each, (limits.nodes + others - 1) / others);
-  std::vector<Place> out;
+  std::vector<Assignment> out;
   for (auto& [name, zone] : zones) {
     std::sort(zone.units.begin(), zone.units.end(),
               [](const Unit& a, const Unit& b) { return a.order < b.order; });
-    Cover(zone.units, name == own_zone ? limits.nodes : each, zone.ready, seat, out);
+    Cover(zone.units, name == own_zone ? limits.nodes : each, zone.ready, position, out);
   }
   return out;
 }
 
-}  // namespace postspread::concert
+}  // namespace postspread::subsetting
--- a/src/demand/board.cpp
+++ b/src/usage/usage_table.cpp
@@ -1,9 +1,9 @@
-#include "demand/board.h"
+#include "usage/usage_table.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace postspread::demand {
+namespace postspread::usage {
 namespace {
 
 // A datagram is "PSD" and a version, then for each customer four bytes of its digest, little-endian, and one
@@ -11,7 +11,7 @@
 constexpr std::string_view kMagic{"PSD\1", 4};
 constexpr std::size_t kEntryBytes = 5;
 
-constexpr double kPaceShare = 0.6;      // of what a gatekeeper takes in: room for chance and other datagrams
+constexpr double kPaceShare = 0.6;      // of what a gateway takes in: room for chance and other datagrams
 constexpr double kLevels = 8;           // of the demand's binary logarithm: steps of 9 %
 constexpr int kLevelOne = 64;           // the level of a demand of 1; the least is 1/256, the most 2^24
 constexpr double kNews = 1.25;          // a change by this factor is told ...
@@ -35,21 +35,22 @@
 
 }  // namespace
 
-void Board::SetGroup(int size) {
+void UsageTable::SetGroup(int size) {
   if (datagrams_per_s_ <= 0) return;
   const double seconds = (std::max(size, 2) - 1) / (kPaceShare * datagrams_per_s_);
   pace_ = Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
-Board::Board(const Place& place, TimePoint now) {
-  if (place.datagrams_per_s <= 0 || place.group_size < 2) return;
-  datagrams_per_s_ = place.datagrams_per_s;
-  SetGroup(place.group_size);
+UsageTable::UsageTable(const UsageOptions& options, TimePoint now) {
+  if (options.datagrams_per_s <= 0 || options.group_size < 2) return;
+  datagrams_per_s_ = options.datagrams_per_s;
+  SetGroup(options.group_size);
   next_at_ =
-      now + Duration(static_cast<std::int64_t>(Mix(place.seed) % static_cast<std::uint64_t>(pace_.count())));
+      now +
+      Duration(static_cast<std::int64_t>(Mix(options.seed) % static_cast<std::uint64_t>(pace_.count())));
 }
 
-Board::Entry& Board::Find(std::uint32_t customer, TimePoint now) {
+UsageTable::Entry& UsageTable::Find(std::uint32_t customer, TimePoint now) {
   if (entries_.size() >= kMaxEntries && !entries_.contains(customer)) {
     const auto oldest = std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
       return a.second.at < b.second.at;
@@ -61,7 +62,7 @@
   return entry;
 }
 
-void Board::Learnt(std::uint32_t customer, double demand, TimePoint now) {
+void UsageTable::Observe(std::uint32_t customer, double demand, TimePoint now) {
   if (pace_.count() == 0) return;
   const std::uint8_t level = ToLevel(demand);
   const bool known = entries_.contains(customer);
@@ -77,7 +78,7 @@
   if (next_at_ < now) next_at_ += pace_ * ((now - next_at_) / pace_ + 1);
 }
 
-bool Board::Received(std::string_view bytes, TimePoint now) {
+bool UsageTable::Received(std::string_view bytes, TimePoint now) {
   if (bytes.substr(0, kMagic.size()) != kMagic) return false;
   bytes.remove_prefix(kMagic.size());
   if (bytes.size() % kEntryBytes != 0 || pace_.count() == 0) return true;  // cut, or not for us
@@ -94,18 +95,18 @@
   return true;
 }
 
-double Board::Demand(std::uint32_t customer, TimePoint now) const {
+double UsageTable::Demand(std::uint32_t customer, TimePoint now) const {
   const auto found = entries_.find(customer);
   if (found == entries_.end() || now - found->second.at > kLife) return -1;
   return FromLevel(found->second.level);
 }
 
-std::optional<TimePoint> Board::NextTick() const {
+std::optional<TimePoint> UsageTable::NextTick() const {
   if (queue_.empty()) return std::nullopt;
   return next_at_;
 }
 
-std::optional<std::string> Board::Next(TimePoint now) {
+std::optional<std::string> UsageTable::Next(TimePoint now) {
   if (queue_.empty() || now < next_at_) return std::nullopt;
   std::string out(kMagic);
   std::size_t taken = 0;
@@ -126,4 +127,4 @@
   return out;
 }
 
-}  // namespace postspread::demand
+}  // namespace postspread::usage
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,4 +1,4 @@
-// The forms that others see, byte for byte: datagrams between gatekeepers of different versions, names and
+// The forms that others see, byte for byte: datagrams between gateways of different versions, names and
 // labels of metrics, keys of the operator file. A rename in the code must not change any of them.
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-#include "demand/board.h"
 #include "idempotency/wire.h"
 #include "membership/wire.h"
 #include "operator/operator_file.h"
-#include "ops/figures.h"
+#include "ops/metrics.h"
+#include "usage/usage_table.h"
 
 namespace postspread {
 namespace {
@@ -57,7 +57,7 @@
     head.number = 300;
     head.view = 0x01020304;
     head.sender = own;
-    Writer writer(DigestFleet("fleet"), head, 256);
+    Writer writer(DigestGroup("fleet"), head, 256);
     CHECK(writer.Add("gate-1", 4, {1'700'000'000'001, 6, State::kDead}, true));
     CHECK(writer.Add("gate-2", 5, {1'700'000'000'002, 0, State::kLeft}, false));
     return Hex(std::move(writer).Seal());
@@ -86,11 +86,11 @@
 }
 
 TEST_CASE("datagrams on customers beyond their quotas keep their bytes") {
-  const demand::TimePoint now = std::chrono::seconds(1'000);
-  demand::Board board({.group_size = 3, .datagrams_per_s = 10, .seed = 1}, now);
-  board.Learnt(0x01020304, 1.5, now);
-  board.Learnt(0xa0b0c0d0, 20, now);
-  const auto datagram = board.Next(now + std::chrono::seconds(60));
+  const usage::TimePoint now = std::chrono::seconds(1'000);
+  usage::UsageTable table({.group_size = 3, .datagrams_per_s = 10, .seed = 1}, now);
+  table.Observe(0x01020304, 1.5, now);
+  table.Observe(0xa0b0c0d0, 20, now);
+  const auto datagram = table.Next(now + std::chrono::seconds(60));
   REQUIRE(datagram);
   CHECK(Hex(*datagram) == "505344010403020145d0c0b0a063");
 }
@@ -107,12 +107,12 @@
 }
 
 TEST_CASE("metrics keep their names, types and labels") {
-  ops::Figures figures;
-  figures.Of("lookup");
-  figures.attempts_ended = {{"served", 1}};
-  ops::FleetFigures fleet;
-  fleet.members = {{"alive", 1}};
-  fleet.dropped = {{"unreadable", 1}};
+  ops::Metrics metrics;
+  metrics.Of("lookup");
+  metrics.attempts_ended = {{"served", 1}};
+  ops::MembershipMetrics membership;
+  membership.members = {{"alive", 1}};
+  membership.dropped = {{"unreadable", 1}};
   const std::vector<std::string> expected{"# TYPE svc_completed counter",
                                           R"(svc_completed{lane="lookup"})",
                                           "# TYPE svc_rejected counter",
@@ -197,7 +197,7 @@
                                           "svc_fleet_bytes_sent",
                                           "# TYPE svc_fleet_held_back counter",
                                           "svc_fleet_held_back"};
-  CHECK(MetricNames(ops::Render(figures, {.fleet = fleet})) == expected);
+  CHECK(MetricNames(ops::Render(metrics, {.membership = membership})) == expected);
 }
 
 TEST_CASE("the operator file keeps its keys and words") {
@@ -238,14 +238,14 @@
   const operator_file::OperatorFile defaults;
   CHECK(file.idempotency.memory == 1U << 20);
   CHECK(file.idempotency.datagrams_per_second == 30);
-  CHECK(file.fleet.datagrams_per_second == 50);
-  CHECK(file.concert.subsets);
-  CHECK(file.concert.nodes == 7);
-  CHECK(file.concert.least == 3);
+  CHECK(file.membership.datagrams_per_second == 50);
+  CHECK(file.subsetting.subsets);
+  CHECK(file.subsetting.nodes == 7);
+  CHECK(file.subsetting.least == 3);
   CHECK_FALSE(file.idempotency == defaults.idempotency);
-  CHECK_FALSE(file.demand == defaults.demand);
-  CHECK_FALSE(file.fleet == defaults.fleet);
-  CHECK_FALSE(file.concert == defaults.concert);
+  CHECK_FALSE(file.usage == defaults.usage);
+  CHECK_FALSE(file.membership == defaults.membership);
+  CHECK_FALSE(file.subsetting == defaults.subsetting);
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -47,11 +47,11 @@
   CHECK(config.discovery.text() == "10.2.0.1:8500");
   CHECK(config.seed == 0x8c1f30d27a5be964);
   CHECK(config.sockets == 256);
-  CHECK(config.hop_idle == std::chrono::seconds(7));
+  CHECK(config.upstream_idle == std::chrono::seconds(7));
   CHECK(config.max_open == 20'000);
   REQUIRE(config.known.entries.size() == 1);
   CHECK(config.known.index == 41);
-  CHECK(config.known.entries[0].hop.started == std::chrono::milliseconds(7));
+  CHECK(config.known.entries[0].upstream.started == std::chrono::milliseconds(7));
   CHECK(config.known.entries[0].address.text() == "10.1.0.18:6379");
   CHECK(config.settings.plans.at(0).burst == 8);
 }
@@ -75,7 +75,7 @@
   const Config config = Read(from);
   CHECK(config.sockets == 1024);
   CHECK(config.memory_mb == 192);
-  CHECK(config.hop_idle == std::chrono::seconds(30));
+  CHECK(config.upstream_idle == std::chrono::seconds(30));
   CHECK_FALSE(config.counter);
   CHECK(config.known.entries.empty());
 }
@@ -181,11 +181,11 @@
 TEST_CASE("a next hop of unknown status gets nothing new") {
   json list = Sound()["known"];
   list["endpoints"][0]["status"] = "Warming";
-  CHECK(DecodeRoster(list).entries[0].hop.state == planner::HopState::kDraining);
+  CHECK(DecodeEndpointList(list).entries[0].upstream.state == planner::UpstreamState::kDraining);
   list["endpoints"][0] = {{"name", "s-1"}, {"status", "Gone"}};  // one that is gone needs no address
-  CHECK(DecodeRoster(list).entries[0].hop.state == planner::HopState::kGone);
+  CHECK(DecodeEndpointList(list).entries[0].upstream.state == planner::UpstreamState::kGone);
   list["snapshot"] = false;
-  CHECK_FALSE(DecodeRoster(list).full);
+  CHECK_FALSE(DecodeEndpointList(list).full);
 }
 
 TEST_CASE("addresses are numeric") {
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -72,7 +72,7 @@
       info.state = state;
       rows->push_back(info);
     }
-    Tell(RosterEvent{RosterKind::kComplete, 1, rows});
+    Tell(EndpointListEvent{EndpointListKind::kComplete, 1, rows});
   }
 
   void Tell(const Event& event) {
@@ -803,7 +803,7 @@
   EXPECT_EQ(g.sends.size(), 4U);
 }
 
-TEST(Figures, ServersThatDrainOrAreOutCountAsAvoided) {
+TEST(Metrics, ServersThatDrainOrAreOutCountAsAvoided) {
   Gateway g;
   g.Servers({{"s1", "a"}, {"s2", "b"}, {"s3", "a"}});
   g.Ask(1, 1);
@@ -838,7 +838,7 @@
         if (n == 0) info.started = g.now;
         rows->push_back(info);
       }
-      g.Tell(RosterEvent{RosterKind::kComplete, 2, rows});
+      g.Tell(EndpointListEvent{EndpointListKind::kComplete, 2, rows});
       for (int n = 0; n < requests / gateways; ++n) {
         g.Ask(static_cast<RequestId>(n + 1), 1);
         cold += g.sends.back().server == "s0" ? 1 : 0;
@@ -893,7 +893,7 @@
               if (n < cold_servers) info.started = start;
               rows->push_back(info);
             }
-            g.Tell(RosterEvent{RosterKind::kComplete, 2, rows});
+            g.Tell(EndpointListEvent{EndpointListKind::kComplete, 2, rows});
           };
           list(false);
           std::exponential_distribution<double> gap(kLoad * kServers * kPerServer * weight[i] / total);
@@ -943,7 +943,7 @@
     info.started = g.now;
     rows->push_back(info);
   }
-  g.Tell(RosterEvent{RosterKind::kComplete, 2, rows});
+  g.Tell(EndpointListEvent{EndpointListKind::kComplete, 2, rows});
   for (RequestId id = 1; id <= 2000; ++id) {
     const std::size_t before = g.sends.size();
     g.Ask(id, 1);
@@ -1342,7 +1342,7 @@
   g.Tell(TimerEvent{99});
   g.Tell(ClientGoneEvent{5});
   g.Tell(CounterEvent{"nobody", CounterResult::kOk, 3, Duration(1)});
-  g.Tell(RosterEvent{RosterKind::kError, 1, nullptr});
+  g.Tell(EndpointListEvent{EndpointListKind::kError, 1, nullptr});
   RequestEvent e;
   e.id = 9;
   e.class_name = "?";
--- a/tests/roster/call_times_test.cpp
+++ b/tests/discovery/discovery_schedule_test.cpp
@@ -1,11 +1,11 @@
 // The bound on what discovery's faults may hold up, in modelled time.
-#include "roster/call_times.h"
+#include "discovery/discovery_schedule.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <vector>
 
-namespace postspread::roster {
+namespace postspread::discovery {
 namespace {
 
 using std::chrono::milliseconds;
@@ -15,7 +15,7 @@
 // Plays a fault at time 0 of a call that is out, then the rest with every step as long as it may be, then a
 // call that is answered; returns how long after the change that is. The change came when the first fault hid
 // it: as the silent call began, or as the other came to nothing.
-milliseconds Play(CallTimes& times, const std::vector<Fault>& faults) {
+milliseconds Play(DiscoverySchedule& times, const std::vector<Fault>& faults) {
   const auto dial = std::chrono::ceil<milliseconds>(times.Dial());
   milliseconds at{0};
   for (std::size_t i = 0; i < faults.size(); ++i) {
@@ -33,14 +33,14 @@
   for (const int group : {1, 2, 3, 30, 300, 3'000}) {
     for (const milliseconds timeout : {milliseconds(50), milliseconds(250), milliseconds(5'000)}) {
       for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        CallTimes times(timeout, group, seed);
+        DiscoverySchedule times(timeout, group, seed);
         for (const Fault first : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
           for (const Fault second : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
             const milliseconds took = Play(times, {first, second});
             INFO(group << " gatekeepers, dial " << timeout.count() << " ms, faults "
                        << static_cast<int>(first) << " " << static_cast<int>(second) << ", " << took.count()
                        << " ms");
-            REQUIRE(took <= CallTimes::kTold - CallTimes::kSpare);
+            REQUIRE(took <= DiscoverySchedule::kTold - DiscoverySchedule::kSpare);
           }
         }
       }
@@ -49,17 +49,17 @@
 }
 
 TEST_CASE("refused again and again, a call comes within the bound of the one before, and the spare is kept") {
-  CallTimes times(milliseconds(250), 300, 7);
+  DiscoverySchedule times(milliseconds(250), 300, 7);
   for (int i = 0; i < 1'000; ++i) {
     const milliseconds two = times.Refused() + times.Refused();
     REQUIRE(two + 2 * (milliseconds(250) + times.kOverdue) + times.kShortWait <=
-            CallTimes::kTold - CallTimes::kSpare);
+            DiscoverySchedule::kTold - DiscoverySchedule::kSpare);
   }
 }
 
 TEST_CASE("a refused group makes some five calls a second, or as few as the bound allows, and not in step") {
   for (const int group : {1, 3, 5, 30, 300}) {
-    CallTimes times(milliseconds(250), group, 11);
+    DiscoverySchedule times(milliseconds(250), group, 11);
     times.Refused();
     milliseconds sum{0}, least{1'000'000}, most{0};
     constexpr int kRounds = 2'000;
@@ -77,15 +77,15 @@
 }
 
 TEST_CASE("after a fault the first call waits for a short time only, and then the usual") {
-  CallTimes times(milliseconds(250), 3, 1);
-  CHECK(times.Wait() == CallTimes::kWait);
+  DiscoverySchedule times(milliseconds(250), 3, 1);
+  CHECK(times.Wait() == DiscoverySchedule::kWait);
   times.Lost();
-  CHECK(times.Wait() == CallTimes::kShortWait);
+  CHECK(times.Wait() == DiscoverySchedule::kShortWait);
   times.Refused();
-  CHECK(times.Wait() == CallTimes::kShortWait);
+  CHECK(times.Wait() == DiscoverySchedule::kShortWait);
   times.Answered();
-  CHECK(times.Wait() == CallTimes::kWait);
+  CHECK(times.Wait() == DiscoverySchedule::kWait);
 }
 
 }  // namespace
-}  // namespace postspread::roster
+}  // namespace postspread::discovery
--- a/tests/fleet/fault_control.h
+++ b/tests/fleet/fault_control.h
@@ -1,4 +1,4 @@
-// What a test tells the fault shim that is loaded into a gatekeeper: a page of memory that both map.
+// What a test tells the fault shim that is loaded into a gateway: a page of memory that both map.
 #ifndef POSTSPREAD_TESTS_FLEET_FAULT_CONTROL_H_
 #define POSTSPREAD_TESTS_FLEET_FAULT_CONTROL_H_
 
--- a/tests/fleet/fault_shim.cpp
+++ b/tests/fleet/fault_shim.cpp
@@ -1,4 +1,4 @@
-// Loaded into a gatekeeper by LD_PRELOAD: makes its system calls fail or fall short as fault_control.h says.
+// Loaded into a gateway by LD_PRELOAD: makes its system calls fail or fall short as fault_control.h says.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
--- a/tests/fleet/habit_client.cpp
+++ b/tests/fleet/habit_client.cpp
@@ -80,7 +80,7 @@
       random_(seed),
       step_(base, [this] { Step(); }) {
   connection_ = net::Dial(
-      base_, *config::Address::Parse(partners::Place(target_.port)),
+      base_, *config::Address::Parse(partners::LoopbackAddress(target_.port)),
       [](bufferevent*, void* self) { static_cast<HabitClient*>(self)->Read(); }, nullptr,
       [](bufferevent*, short what, void* self) {
         auto* client = static_cast<HabitClient*>(self);
@@ -178,13 +178,13 @@
   RequestRecord& record = ledger_.Add(request_id_);
   record.request_class = request_class;
   record.habit = habit_;
-  record.gatekeeper = target_.gatekeeper;
+  record.gateway = target_.gateway;
   record.deadline = target_.deadline;
   record.pipelined = !pending_.empty();
   std::string extras = std::string("c=") + ClassName(request_class) +
                        ",t=basic,d=" + std::to_string(target_.deadline.count()) +
                        ",units=1,spread=" + std::to_string(target_.spread) +
-                       ",first=" + std::to_string(target_.gatekeeper);
+                       ",first=" + std::to_string(target_.gateway);
   const std::string customer = Hex(random_() % kCustomers + 1);
   std::string out;
   if (request_class == RequestClass::kSafe) {
--- a/tests/fleet/habit_client.h
+++ b/tests/fleet/habit_client.h
@@ -1,4 +1,4 @@
-// Scripted clients of real gatekeepers, each with one habit, and the record of every request they sent. The
+// Scripted clients of real gateways, each with one habit, and the record of every request they sent. The
 // record is what a checker judges by: it knows nothing of the program under test.
 #ifndef POSTSPREAD_TESTS_FLEET_HABIT_CLIENT_H_
 #define POSTSPREAD_TESTS_FLEET_HABIT_CLIENT_H_
@@ -44,7 +44,7 @@
 struct RequestRecord {
   RequestClass request_class = RequestClass::kSafe;
   Habit habit = Habit::kResting;
-  int gatekeeper = 0;
+  int gateway = 0;
   std::string key;            // of a keyed request
   Clock::time_point written;  // when its last byte was handed to the socket
   std::chrono::milliseconds deadline{0};
@@ -80,7 +80,7 @@
 class HabitClient {
  public:
   struct Target {
-    int gatekeeper = 0;
+    int gateway = 0;
     int port = 0;
     int spread = 1;
     std::chrono::milliseconds deadline{2'500};
--- a/tests/fleet/habit_paths_test.cpp
+++ b/tests/fleet/habit_paths_test.cpp
@@ -178,8 +178,8 @@
                                                   Habit::kResting, 1'000 + i));
   }
   site.rig.Run(milliseconds(1'000));
-  site.rig.ReadFigures();
-  CHECK(site.rig.Figure(0, "svc_client_connections_closed{reason=\"evicted\"}") > 0);
+  site.rig.ReadMetrics();
+  CHECK(site.rig.Metric(0, "svc_client_connections_closed{reason=\"evicted\"}") > 0);
   site.CheckAnswered();
   site.CheckRules();
 }
--- a/tests/fleet/habit_site.h
+++ b/tests/fleet/habit_site.h
@@ -1,4 +1,4 @@
-// One real gatekeeper that serves, clients of every habit on it, and what is checked of any path.
+// One real gateway that serves, clients of every habit on it, and what is checked of any path.
 #ifndef POSTSPREAD_TESTS_FLEET_HABIT_SITE_H_
 #define POSTSPREAD_TESTS_FLEET_HABIT_SITE_H_
 
@@ -20,9 +20,9 @@
 inline constexpr milliseconds kService{120};     // longer than the pause between two requests by the clock
 inline constexpr std::size_t kLargeValue = 30'000;
 
-// One gatekeeper that serves, and clients of every habit.
+// One gateway that serves, and clients of every habit.
 struct HabitSite {
-  explicit HabitSite(Options options = {}) : rig(OneGatekeeper(std::move(options))) {
+  explicit HabitSite(Options options = {}) : rig(OneGateway(std::move(options))) {
     rig.nodes().least_service = kService;
     rig.nodes().value_size = [](std::string_view id) { return WantsLargeAnswer(id) ? kLargeValue : 0; };
     rig.nodes().on_attempt = [this](int, std::string_view id, std::string_view) {
@@ -32,8 +32,8 @@
     rig.StartAll();
     rig.Run(kServes);
   }
-  static Options OneGatekeeper(Options options) {
-    options.gatekeepers = 1;
+  static Options OneGateway(Options options) {
+    options.gateways = 1;
     options.view = false;
     return options;
   }
@@ -88,11 +88,11 @@
            record.written <= *killed_after_stop + kCameEarly;
   }
   void CheckRules() {
-    rig.ReadFigures();
+    rig.ReadMetrics();
     for (std::size_t i = 0; i < safety::kRules; ++i) {
       const std::string rule(safety::Name(safety::Rule(i)));
       INFO(rule);
-      CHECK(rig.Figure(0, "svc_rule_violations{rule=\"" + rule + "\"}") == 0);
+      CHECK(rig.Metric(0, "svc_rule_violations{rule=\"" + rule + "\"}") == 0);
     }
   }
   void CheckDrained() {
--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -1,4 +1,4 @@
-// The view of the fleet over several real gatekeepers, with faults between them; and the rig itself: with
+// The membership view over several real gateways, with faults between them; and the rig itself: with
 // each defence switched off it has to see red.
 #include <catch2/catch.hpp>
 
@@ -34,7 +34,7 @@
   } while (false)
 
 TEST_CASE("halves that were apart for longer than they remember are one again") {
-  Rig rig({.gatekeepers = 6, .forget = milliseconds(2'000)});
+  Rig rig({.gateways = 6, .forget = milliseconds(2'000)});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 50);
   rig.Split(Halves(6));
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("seven of ten killed at once, then all started again") {
-  Rig rig({.gatekeepers = 10, .datagrams_per_second = 200});
+  Rig rig({.gateways = 10, .datagrams_per_second = 200});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 80);
   for (const int i : Range(3, 10)) rig.Kill(i);
@@ -59,7 +59,7 @@
 
 TEST_CASE("members that start again on clocks that were stepped are in every view, and know the others") {
   constexpr std::int64_t kSteps[] = {1'000'000, 60'000'000, 3'600'000'000};
-  Rig rig({.gatekeepers = 5, .fault_shim = FAULT_SHIM});
+  Rig rig({.gateways = 5, .fault_shim = FAULT_SHIM});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 50);
   for (const std::int64_t step : kSteps) {
@@ -80,7 +80,7 @@
 }
 
 TEST_CASE("a cut one way, and a member that stands still for less and for longer than the suspicion") {
-  Rig rig({.gatekeepers = 4});
+  Rig rig({.gateways = 4});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 50);
   const std::string before = rig.hash(0);
@@ -100,14 +100,14 @@
   rig.Continue(2);
   HOLDS(rig, rig.AllAgree(), kSettle);
   // It declared nobody dead for its own absence.
-  rig.ReadFigures();
-  CHECK(rig.Figure(2, "svc_fleet_deaths_declared") == 0);
+  rig.ReadMetrics();
+  CHECK(rig.Metric(2, "svc_fleet_deaths_declared") == 0);
   CHECK(rig.hash(2) == before);
   Sound(rig);
 }
 
 TEST_CASE("all seeds down at the start, and a rolling restart while datagrams are lost") {
-  Rig rig({.gatekeepers = 4, .loss = 0.1});
+  Rig rig({.gateways = 4, .loss = 0.1});
   rig.Start(3);
   rig.Run(milliseconds(1'500));
   rig.StartAll();
@@ -120,13 +120,13 @@
     rig.Start(i);
     HOLDS(rig, rig.AllAgree(), kSettle);
   }
-  rig.ReadFigures();
-  for (const int i : Range(0, 4)) CHECK(rig.Figure(i, "svc_fleet_members{state=\"dead\"}") == 0);
+  rig.ReadMetrics();
+  for (const int i : Range(0, 4)) CHECK(rig.Metric(i, "svc_fleet_members{state=\"dead\"}") == 0);
   Sound(rig);
 }
 
 TEST_CASE("two processes under one name are told, and the others' view does not suffer") {
-  Options options{.gatekeepers = 5};
+  Options options{.gateways = 5};
   options.name = [](int i) { return i == 4 ? "gk-1" : "gk-" + std::to_string(i); };
   Rig rig(options);
   for (const int i : Range(0, 4)) rig.Start(i);
@@ -140,23 +140,23 @@
 }
 
 TEST_CASE("an upgrade: the successor takes over, and nobody sees a death") {
-  Rig rig({.gatekeepers = 3, .inherited = true});
+  Rig rig({.gateways = 3, .inherited = true});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 50);
-  const std::uint64_t former = rig.life(1);
+  const std::uint64_t former = rig.incarnation(1);
   rig.StartSuccessor(1);
-  HOLDS(rig, rig.life(1) > former && rig.AllAgree(), kSettle);
+  HOLDS(rig, rig.incarnation(1) > former && rig.AllAgree(), kSettle);
   rig.EndFormer(1);
   rig.Run(milliseconds(2'000));
   CHECK(rig.AllAgree());
-  rig.ReadFigures();
-  for (const int i : Range(0, 3)) CHECK(rig.Figure(i, "svc_fleet_deaths_declared") == 0);
+  rig.ReadMetrics();
+  for (const int i : Range(0, 3)) CHECK(rig.Metric(i, "svc_fleet_deaths_declared") == 0);
   CHECK_FALSE(rig.Logged(0, "gk-1 is dead"));
   Sound(rig);
 }
 
 TEST_CASE("a reload takes on the view's times, and says what only a start can take on") {
-  Options options{.gatekeepers = 3, .period = milliseconds(1'000), .suspicion = milliseconds(30'000)};
+  Options options{.gateways = 3, .period = milliseconds(1'000), .suspicion = milliseconds(30'000)};
   Rig rig(options);
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 20);
@@ -176,7 +176,7 @@
 }
 
 TEST_CASE("a cut in the middle of a leave, and garbage at full speed while a member dies") {
-  Rig rig({.gatekeepers = 4});
+  Rig rig({.gateways = 4});
   rig.StartAll();
   HOLDS(rig, rig.AllAgree(), 50);
   rig.Split({0, 0, 1, 1});
@@ -202,9 +202,9 @@
   rig.Run(milliseconds(500));
   rig.Kill(2);
   HOLDS(rig, rig.AllAgree(), kSettle);
-  rig.ReadFigures();
-  CHECK(rig.Figure(0, "svc_fleet_dropped{cause=\"unreadable\"}") +
-            rig.Figure(0, "svc_fleet_dropped{cause=\"foreign\"}") >
+  rig.ReadMetrics();
+  CHECK(rig.Metric(0, "svc_fleet_dropped{cause=\"unreadable\"}") +
+            rig.Metric(0, "svc_fleet_dropped{cause=\"foreign\"}") >
         1'000);
   flooding = false;
   rig.Run(milliseconds(50));
@@ -213,9 +213,9 @@
 
 TEST_CASE("the rig tells a sound program from one whose defence is off") {
   CHECK_FALSE(SeesRed(""));
-  for (const char* without : kDefences) {
-    INFO(without);
-    CHECK(SeesRed(without));
+  for (const char* disabled : kDefences) {
+    INFO(disabled);
+    CHECK(SeesRed(disabled));
   }
 }
 
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -26,9 +26,9 @@
     sockaddr_in bound{};
     socklen_t size = sizeof bound;
     getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&bound), &size);
-    place_ = partners::Place(ntohs(bound.sin_port));
+    address_ = partners::LoopbackAddress(ntohs(bound.sin_port));
   }
-  const std::string& place() const { return place_; }
+  const std::string& address() const { return address_; }
   void Cut() { Set(true); }
   void Heal() { Set(false); }
   // Resets every connection that goes over it.
@@ -82,7 +82,7 @@
   }
 
   event_base* base_;
-  std::string target_, place_;
+  std::string target_, address_;
   net::Listener listener_;
   bool cut_ = false;
   std::list<std::unique_ptr<Pair>> pairs_;
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -20,7 +20,7 @@
 
 constexpr milliseconds kPollEvery{40};
 constexpr milliseconds kStep{10};
-constexpr seconds kPatience{4};          // of a client
+constexpr seconds kTimeout{4};           // of a client
 constexpr seconds kLate{6};              // by then an answer counts as never come
 constexpr double kSeenWithin = 25;       // periods
 constexpr int kUndisturbedPeriods = 30;  // after which nobody may be held dead that lives
@@ -40,7 +40,7 @@
         const std::string& method = "GET")
       : done_(std::move(done)) {
     event_ = net::Dial(
-        base, *config::Address::Parse(Place(port)), nullptr, nullptr,
+        base, *config::Address::Parse(LoopbackAddress(port)), nullptr, nullptr,
         [](bufferevent*, short what, void* self) {
           if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0)
             static_cast<Fetch*>(self)->End();
@@ -82,7 +82,7 @@
 
 Rig::Rig(Options options)
     : options_(std::move(options)), base_(net::MakeEventBase()), random_(options_.seed) {
-  // Partners answer gatekeepers that have been killed meanwhile: an error of that write, not the rig's end.
+  // Partners answer gateways that have been killed meanwhile: an error of that write, not the rig's end.
   std::signal(SIGPIPE, SIG_IGN);
   static int count = 0;
   folder_ = (std::filesystem::temp_directory_path() /
@@ -91,7 +91,7 @@
   std::filesystem::create_directories(folder_);
   nodes_ = std::make_unique<Nodes>(base_.get(), options_.nodes, 1, options_.seed, seconds(15));
   counter_ = std::make_unique<Counter>(base_.get());
-  datagrams_ = std::make_unique<Datagrams>(base_.get(), options_.gatekeepers, options_.seed);
+  datagrams_ = std::make_unique<Datagrams>(base_.get(), options_.gateways, options_.seed);
   datagrams_->loss = options_.loss;
   datagrams_->most_delay = milliseconds(10);
   datagrams_->cut = [this](int from, int to) {
@@ -99,9 +99,9 @@
     return !sides_.empty() && sides_[static_cast<std::size_t>(from)] != sides_[static_cast<std::size_t>(to)];
   };
   WriteOperators(options_);
-  for (int i = 0; i < options_.gatekeepers; ++i) {
-    gatekeepers_.push_back(std::make_unique<Gatekeeper>());
-    Gatekeeper& g = at(i);
+  for (int i = 0; i < options_.gateways; ++i) {
+    gateways_.push_back(std::make_unique<Gateway>());
+    Gateway& g = at(i);
     g.port = FreePort();
     g.ops = FreePort();
     if (!options_.fault_shim.empty()) MapFaults(i);
@@ -117,21 +117,21 @@
       evutil_make_socket_closeonexec(g.socket);
     }
     g.discovery = std::make_unique<Discovery>(base_.get());
-    g.to_discovery = std::make_unique<Relay>(base_.get(), g.discovery->place());
-    g.to_counter = std::make_unique<Relay>(base_.get(), counter_->place());
+    g.to_discovery = std::make_unique<Relay>(base_.get(), g.discovery->address());
+    g.to_counter = std::make_unique<Relay>(base_.get(), counter_->address());
     json list = nodes_->Listed(1);
     for (json& entry : list) {
       g.to_nodes.push_back(std::make_unique<Relay>(base_.get(), entry["address"].get<std::string>()));
-      entry["address"] = g.to_nodes.back()->place();
+      entry["address"] = g.to_nodes.back()->address();
     }
     g.discovery->Tell(list);
     json classes = {{{"Name", "read"}, {"Aim", 800'000}, {"HardLimit", 4'000'000}, {"Effect", "safe"}}};
     classes.insert(classes.end(), options_.more_classes.begin(), options_.more_classes.end());
     const json config = {{"name", options_.name(i)},
-                         {"listen", Place(g.port)},
-                         {"ops", Place(g.ops)},
-                         {"discovery", g.to_discovery->place()},
-                         {"counter", g.to_counter->place()},
+                         {"listen", LoopbackAddress(g.port)},
+                         {"ops", LoopbackAddress(g.ops)},
+                         {"discovery", g.to_discovery->address()},
+                         {"counter", g.to_counter->address()},
                          {"limits", {{"sockets", options_.sockets}}},
                          {"seed", Hex(options_.seed * 1000 + static_cast<std::uint64_t>(i))},
                          {"peer_listen", datagrams_->listen(i)},
@@ -142,7 +142,7 @@
                            {"Contracts", {{{"Name", "basic"}, {"PerSecond", 100'000}, {"Depth", 100'000}}}},
                            {"Domain", {{"SharedCounter", true}, {"CountLimit", 100'000}, {"MaxUnits", 4}}},
                            {"Rank", i},
-                           {"GroupSize", options_.gatekeepers},
+                           {"GroupSize", options_.gateways},
                            {"Limits",
                             {{"Cancelling", true},
                              {"MostTries", 4},
@@ -160,7 +160,7 @@
 
 Rig::~Rig() {
   ending_ = true;
-  for (const auto& g : gatekeepers_) {
+  for (const auto& g : gateways_) {
     g->process.reset();
     g->former.reset();
     if (g->socket >= 0) close(g->socket);
@@ -177,12 +177,12 @@
 
 partners::Process::Plan Rig::PlanOf(int i) const {
   partners::Process::Plan out;
-  out.program = !options_.program.empty()  ? options_.program
-                : options_.without.empty() ? GATEKEEPER
-                                           : SWITCHED;
+  out.program = !options_.program.empty()   ? options_.program
+                : options_.disabled.empty() ? GATEWAY_PROGRAM
+                                            : GATEWAY_PROGRAM_FOR_TESTS;
   out.arguments = {"--operator", folder_ + "/operator.conf", "--log-format", "json"};
   out.variables = {"ROUTER_CONFIG=" + Path(i, ".json")};
-  if (!options_.without.empty()) out.variables.push_back("POSTSPREAD_WITHOUT=" + options_.without);
+  if (!options_.disabled.empty()) out.variables.push_back("POSTSPREAD_WITHOUT=" + options_.disabled);
   if (options_.inherited) out.variables.push_back("ROUTER_FD=7");
   if (!options_.fault_shim.empty()) {
     out.variables.push_back("LD_PRELOAD=" + options_.fault_shim);
@@ -222,10 +222,10 @@
 
 void Rig::Start(int i) {
   Say("start " + options_.name(i));
-  Gatekeeper& g = at(i);
+  Gateway& g = at(i);
   g.process = std::make_unique<partners::Process>(PlanOf(i));
   g.stopped = g.leaving = false;
-  g.life = 0;
+  g.incarnation = 0;
   g.hash.clear();
   g.members.clear();
   Disturb(i);
@@ -270,13 +270,13 @@
 }
 void Rig::StartSuccessor(int i) {
   Say("start a successor of " + options_.name(i));
-  Gatekeeper& g = at(i);
+  Gateway& g = at(i);
   g.former = std::move(g.process);
   g.ops = FreePort();
   partners::Process::Plan plan = PlanOf(i);
-  plan.variables.push_back("ROUTER_OPS=" + Place(g.ops));
+  plan.variables.push_back("ROUTER_OPS=" + LoopbackAddress(g.ops));
   g.process = std::make_unique<partners::Process>(plan);
-  g.life = 0;
+  g.incarnation = 0;
   g.polls = 0;
 }
 void Rig::EndFormer(int i) {
@@ -328,10 +328,10 @@
   for (Relay* relay : Relays(i, way)) relay->Reset();
 }
 void Rig::TellNodes(const std::set<int>& draining) {
-  for (const auto& g : gatekeepers_) {
+  for (const auto& g : gateways_) {
     json list = nodes_->Listed(1);
     for (std::size_t node = 0; node < list.size(); ++node) {
-      list[node]["address"] = g->to_nodes[node]->place();
+      list[node]["address"] = g->to_nodes[node]->address();
       if (draining.contains(static_cast<int>(node))) list[node]["status"] = "Terminating";
     }
     g->discovery->Tell(std::move(list));
@@ -385,7 +385,7 @@
 // Processes that were told to end do so; one that ends unasked is a crash.
 void Rig::Reap() {
   for (int i = 0; i < size(); ++i) {
-    Gatekeeper& g = at(i);
+    Gateway& g = at(i);
     int code = 0;
     if (g.former && g.former->Ended(code)) {
       if (code != 0)
@@ -427,7 +427,7 @@
 }
 
 void Rig::Take(int i, int, const std::string& body) {
-  Gatekeeper& g = at(i);
+  Gateway& g = at(i);
   if (!g.process || g.stopped) return;
   const json view = json::parse(body, nullptr, false);
   if (view.is_discarded()) return broken_.push_back("the door gave no JSON");
@@ -439,7 +439,7 @@
     flaps_per_minute = std::max<std::uint64_t>(flaps_per_minute, g.changes.size());
   }
   g.hash = hash;
-  g.life = view["life"];
+  g.incarnation = view["life"];
   g.members.clear();
   for (const json& m : view["members"]) g.members[m["name"]] = {m["state"], m["life"]};
   ++g.polls;
@@ -449,9 +449,9 @@
 // All through: whoever has run undisturbed for long enough, as has the viewer, is held to live in its own
 // life.
 void Rig::Check(int viewer) {
-  const Gatekeeper& g = at(viewer);
+  const Gateway& g = at(viewer);
   for (int other = 0; other < size(); ++other) {
-    const Gatekeeper& o = at(other);
+    const Gateway& o = at(other);
     if (other == viewer || !o.process || o.stopped || o.leaving || g.leaving) continue;
     if (Periods(o.disturbed) < kUndisturbedPeriods || Periods(g.disturbed) < kUndisturbedPeriods) continue;
     const std::optional<Held> held = See(viewer, other);
@@ -496,21 +496,22 @@
 
 bool Rig::Agree(const std::vector<int>& side) const {
   for (const int viewer : side) {
-    const Gatekeeper& g = at(viewer);
+    const Gateway& g = at(viewer);
     if (g.polls == 0 || g.hash != at(side.front()).hash) return false;
     std::size_t living = 0;
     for (const auto& [name, held] : g.members) living += held.state == "alive" || held.state == "suspect";
     if (living != side.size()) return false;
     for (const int other : side) {
       const std::optional<Held> held = See(viewer, other);
-      if (!held || held->life != at(other).life || (held->state != "alive" && held->state != "suspect"))
+      if (!held || held->incarnation != at(other).incarnation ||
+          (held->state != "alive" && held->state != "suspect"))
         return false;
     }
   }
   return true;
 }
 
-void Rig::ReadFigures() {
+void Rig::ReadMetrics() {
   int left = 0;
   for (int i = 0; i < size(); ++i) {
     if (!alive(i) || stopped(i)) continue;
@@ -522,7 +523,7 @@
           for (std::string line; std::getline(lines, line);) {
             const std::size_t space = line.rfind(' ');
             if (line.empty() || line[0] == '#' || space == std::string::npos) continue;
-            at(i).figures[line.substr(0, space)] = std::stod(line.substr(space + 1));
+            at(i).metrics[line.substr(0, space)] = std::stod(line.substr(space + 1));
           }
         }));
   }
@@ -537,12 +538,12 @@
 
 double Rig::Cpu() const {
   double out = 0;
-  for (const auto& g : gatekeepers_) out += g->process ? g->process->CpuSeconds() : 0;
+  for (const auto& g : gateways_) out += g->process ? g->process->CpuSeconds() : 0;
   return out;
 }
 double Rig::PeakMb() const {
   double out = 0;
-  for (const auto& g : gatekeepers_) out = std::max(out, g->process ? g->process->PeakMb() : 0);
+  for (const auto& g : gateways_) out = std::max(out, g->process ? g->process->PeakMb() : 0);
   return out;
 }
 
@@ -574,7 +575,7 @@
   std::string message;
   resp::AppendCommand(
       {"API.READ", Hex(random_() % 500 + 1), Hex(next_id_++),
-       "c=read,t=basic,d=" + std::to_string(milliseconds(kPatience).count()) +
+       "c=read,t=basic,d=" + std::to_string(milliseconds(kTimeout).count()) +
            ",units=1,spread=" + std::to_string(std::min(size(), 4)) + ",first=" + std::to_string(rank)},
       message);
   ++tally_.asked;
@@ -617,20 +618,20 @@
   return out;
 }
 
-bool SeesRed(const std::string& without) {
-  Rig rig({.gatekeepers = 5, .datagrams_per_second = 60, .without = without});
+bool SeesRed(const std::string& disabled) {
+  Rig rig({.gateways = 5, .datagrams_per_second = 60, .disabled = disabled});
   rig.StartAll();
   if (rig.Until([&] { return rig.AllAgree(); }, 50) < 0) return true;
   const auto deaths = [&] {
-    rig.ReadFigures();
+    rig.ReadMetrics();
     double out = 0;
-    for (const int i : rig.Living()) out += rig.Figure(i, "svc_fleet_deaths_declared");
+    for (const int i : rig.Living()) out += rig.Metric(i, "svc_fleet_deaths_declared");
     return out;
   };
   const auto apart = [&] { return rig.Until([&] { return rig.AllAgree(); }, kSeenWithin) < 0; };
   // The sound program goes through all of it, one without a defence through what that is for.
   const auto plays = [&](std::initializer_list<const char*> defences) {
-    return without.empty() || std::find(defences.begin(), defences.end(), without) != defences.end();
+    return disabled.empty() || std::find(defences.begin(), defences.end(), disabled) != defences.end();
   };
   if (plays({"help"})) {  // two that hear one another only through others
     rig.CutPair(0, 1, true);
@@ -650,8 +651,8 @@
   if (plays({"local-health"})) {  // one that is cut off
     rig.CutOff(3);
     rig.Run(milliseconds(2'500));
-    rig.ReadFigures();
-    if (rig.Figure(3, "svc_fleet_deaths_declared") > 0) return true;
+    rig.ReadMetrics();
+    if (rig.Metric(3, "svc_fleet_deaths_declared") > 0) return true;
     rig.HealAll();
     if (apart()) return true;
   }
@@ -668,17 +669,17 @@
     if (apart()) return true;
   }
   if (plays({"budget"})) {  // a flood of asks that are sound
-    rig.ReadFigures();
-    const double before = rig.Figure(0, "svc_fleet_datagrams_sent");
+    rig.ReadMetrics();
+    const double before = rig.Metric(0, "svc_fleet_datagrams_sent");
     membership::Message ask;
-    ask.sender = {"gk-1", 0, {rig.life(1), 0, membership::State::kAlive}, true};
-    const std::string bytes = membership::Writer(membership::DigestFleet("rig"), ask, 256).Seal();
+    ask.sender = {"gk-1", 0, {rig.incarnation(1), 0, membership::State::kAlive}, true};
+    const std::string bytes = membership::Writer(membership::DigestGroup("rig"), ask, 256).Seal();
     for (int i = 0; i < 100; ++i) {
       for (int n = 0; n < 20; ++n) rig.datagrams().Inject(1, 0, bytes);
       rig.Run(milliseconds(10));
     }
-    rig.ReadFigures();
-    if (rig.Figure(0, "svc_fleet_datagrams_sent") - before > 400) return true;
+    rig.ReadMetrics();
+    if (rig.Metric(0, "svc_fleet_datagrams_sent") - before > 400) return true;
   }
   return !rig.broken().empty();
 }
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -1,4 +1,4 @@
-// Several real gatekeepers on loopback among stand-ins of nodes, counter and discovery, with faults between
+// Several real gateways on loopback among stand-ins of nodes, counter and discovery, with faults between
 // all of them: datagrams by pair and direction and every connection go through relays of the rig; processes
 // are killed, stopped, continued and started again. What each holds of the others is read from its door all
 // the time, and checked all the time: nobody that ran and could be reached may be held dead.
@@ -29,7 +29,7 @@
 using std::chrono::seconds;
 
 struct Options {
-  int gatekeepers = 4;
+  int gateways = 4;
   int nodes = 3;
   milliseconds period{200};
   milliseconds suspicion{600};
@@ -37,9 +37,9 @@
   double datagrams_per_second = 100;
   double loss = 0;
   std::uint64_t seed = 1;
-  int sockets = 1'024;       // that a gatekeeper may hold open
+  int sockets = 1'024;       // that a gateway may hold open
   bool view = true;          // the block `fleet` is on
-  std::string without{};     // a defence that is switched off
+  std::string disabled{};    // a defence that is switched off
   std::string more{};        // further text of the operator file
   std::string program{};     // where it is not the one that was built beside the rig
   std::string fault_shim{};  // loaded into each process, which then has a page of faults
@@ -54,7 +54,7 @@
 // What a process holds of one member.
 struct Held {
   std::string state;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
 };
 
 class Rig {
@@ -74,7 +74,7 @@
   // values and this text behind it.
   void WriteOperators(const Options& values);
   void Reload(int i);  // SIGHUP
-  // An operators' call at the admin listener, such as PUT /v1/gatekeeper/drain.
+  // An operators' call at the admin listener, such as PUT /v1/gateway/drain.
   void Call(int i, const std::string& method, const std::string& path);
   // A second process beside the one that runs, which stays `i`; returns when it was started.
   void StartSuccessor(int i);
@@ -87,7 +87,7 @@
   void CutOff(int i);  // from the others, and from counter, discovery and nodes
   void Rejoin(int i);
   void HealAll();
-  // Cuts or mends one way of a gatekeeper, or resets the connections that go over it.
+  // Cuts or mends one way of a gateway, or resets the connections that go over it.
   enum class Way { kCounter, kDiscovery, kNodes };
   void CutWay(int i, Way way);
   void HealWay(int i, Way way);
@@ -105,9 +105,9 @@
   double Periods(Clock::time_point since) const;
 
   // ---- What is seen, as of the newest poll of each
-  bool alive(int i) const { return gatekeepers_[static_cast<std::size_t>(i)]->process != nullptr; }
-  bool stopped(int i) const { return gatekeepers_[static_cast<std::size_t>(i)]->stopped; }
-  int size() const { return static_cast<int>(gatekeepers_.size()); }
+  bool alive(int i) const { return gateways_[static_cast<std::size_t>(i)]->process != nullptr; }
+  bool stopped(int i) const { return gateways_[static_cast<std::size_t>(i)]->stopped; }
+  int size() const { return static_cast<int>(gateways_.size()); }
   std::vector<int> Living() const;
   // Each of `side` holds just these, in the lives they are in, and their hashes are the same.
   bool Agree(const std::vector<int>& side) const;
@@ -115,15 +115,15 @@
   std::optional<Held> See(int viewer, int member) const;
   bool SeenByAny(int member) const;  // alive or suspect to one that lives
   int Count(int viewer, const std::string& state) const;
-  double Figure(int i, const std::string& name) const {
-    return gatekeepers_[static_cast<std::size_t>(i)]->figures.contains(name)
-               ? gatekeepers_[static_cast<std::size_t>(i)]->figures.at(name)
+  double Metric(int i, const std::string& name) const {
+    return gateways_[static_cast<std::size_t>(i)]->metrics.contains(name)
+               ? gateways_[static_cast<std::size_t>(i)]->metrics.at(name)
                : 0;
   }
   // Reads the figures of all anew.
-  void ReadFigures();
-  const std::string& hash(int i) const { return gatekeepers_[static_cast<std::size_t>(i)]->hash; }
-  std::uint64_t life(int i) const { return gatekeepers_[static_cast<std::size_t>(i)]->life; }
+  void ReadMetrics();
+  const std::string& hash(int i) const { return gateways_[static_cast<std::size_t>(i)]->hash; }
+  std::uint64_t incarnation(int i) const { return gateways_[static_cast<std::size_t>(i)]->incarnation; }
   bool Logged(int i, const std::string& text) const;
   double Cpu() const;
   double PeakMb() const;
@@ -150,11 +150,11 @@
   event_base* base() const { return base_.get(); }
   partners::Datagrams& datagrams() { return *datagrams_; }
   partners::Nodes& nodes() { return *nodes_; }
-  int port(int i) const { return gatekeepers_[static_cast<std::size_t>(i)]->port; }
+  int port(int i) const { return gateways_[static_cast<std::size_t>(i)]->port; }
   std::mt19937_64& random() { return random_; }
 
  private:
-  struct Gatekeeper {
+  struct Gateway {
     std::unique_ptr<partners::Process> process, former;
     bool stopped = false, leaving = false;
     int port = 0, ops = 0, socket = -1;
@@ -165,9 +165,9 @@
     std::vector<std::unique_ptr<Relay>> to_nodes;
     // As last read.
     std::string hash;
-    std::uint64_t life = 0, epoch = 0;
+    std::uint64_t incarnation = 0, epoch = 0;
     std::map<std::string, Held> members;
-    std::map<std::string, double> figures;
+    std::map<std::string, double> metrics;
     Clock::time_point disturbed{};  // since when it has run, was not stopped, and could reach all
     int polls = 0;
     std::vector<Clock::time_point> changes;
@@ -175,8 +175,8 @@
   class Fetch;
   std::vector<Relay*> Relays(int i, Way way);
   void MapFaults(int i);
-  Gatekeeper& at(int i) { return *gatekeepers_[static_cast<std::size_t>(i)]; }
-  const Gatekeeper& at(int i) const { return *gatekeepers_[static_cast<std::size_t>(i)]; }
+  Gateway& at(int i) { return *gateways_[static_cast<std::size_t>(i)]; }
+  const Gateway& at(int i) const { return *gateways_[static_cast<std::size_t>(i)]; }
   std::string Path(int i, const char* ending) const;
   partners::Process::Plan PlanOf(int i) const;
   void Poll();
@@ -196,7 +196,7 @@
   std::unique_ptr<partners::Nodes> nodes_;
   std::unique_ptr<partners::Counter> counter_;
   std::unique_ptr<partners::Datagrams> datagrams_;
-  std::vector<std::unique_ptr<Gatekeeper>> gatekeepers_;
+  std::vector<std::unique_ptr<Gateway>> gateways_;
   std::set<std::pair<int, int>> cut_pairs_;
   std::vector<int> sides_;
   std::set<int> cut_off_;
@@ -215,7 +215,7 @@
 // Whether the rig sees something wrong with a program of which one defence is off (by its word in
 // src/main.cpp; empty: none): halves part and meet, one of five stands still again and again, is killed and
 // started again, is cut off, hears another only through others.
-bool SeesRed(const std::string& without);
+bool SeesRed(const std::string& disabled);
 inline const char* const kDefences[] = {"refutation", "lives",    "local-health", "asking-again",
                                         "help",       "knocking", "budget"};
 
--- a/tests/flow/process_test.cpp
+++ b/tests/flow/process_test.cpp
@@ -36,13 +36,13 @@
   for (const std::size_t size : {65'536u, 65'537u, 300'000u, 4'194'304u}) {
     held.client.Send(Read("v" + std::to_string(size)));
     site.Grant();
-    held.hop.Command();  // the connection is used again after each
+    held.upstream.Command();  // the connection is used again after each
     const std::string value = Value(size, static_cast<unsigned>(size));
     const std::string answer = Answer(value);
     std::string got;
     for (std::size_t at = 0; at < answer.size();) {
       const std::size_t most = random() % 3 == 0 ? 1 + random() % 5 : 1 + random() % 200'000;
-      at += held.hop.SendSome(std::string_view(answer).substr(at, most));
+      at += held.upstream.SendSome(std::string_view(answer).substr(at, most));
       // What has come of a large value is on its way to the client before the rest is there.
       if (size > 65'536 && at > 70'000 && got.empty()) got = held.client.Some(1 << 20);
       while (held.client.HasMore()) got += held.client.Some(1 << 20);
@@ -59,12 +59,13 @@
   constexpr std::size_t kClients = 24;  // twice the limit, if it were held
   std::vector<Site::Held> held;
   for (std::size_t i = 0; i < kClients; ++i) held.push_back(site.Hold("m" + std::to_string(i)));
-  // Next hops write as fast as they can; clients read a little in turn.
+  // Upstreams write as fast as they can; clients read a little in turn.
   std::vector<std::size_t> sent(kClients, 0), got(kClients, 0);
   bool same = true;
   while (std::any_of(got.begin(), got.end(), [&](std::size_t size) { return size < value.size(); }) && same) {
     for (std::size_t i = 0; i < kClients; ++i) {
-      if (sent[i] < answer.size()) sent[i] += held[i].hop.SendSome(std::string_view(answer).substr(sent[i]));
+      if (sent[i] < answer.size())
+        sent[i] += held[i].upstream.SendSome(std::string_view(answer).substr(sent[i]));
       if (got[i] >= value.size()) continue;
       const std::string part = held[i].client.Some(32 * 1024);
       same = same && !part.empty() && value.compare(got[i], part.size(), part) == 0;
@@ -82,8 +83,8 @@
   client.Send(Read("a") + Read("b"));
   site.Grant();
   site.Grant();
-  Peer first = site.hop(0).Accept();
-  Peer second = site.hop(0).Accept();
+  Peer first = site.upstream(0).Accept();
+  Peer second = site.upstream(0).Accept();
   if (first.Command().at(2) != "a") std::swap(first, second);
   const std::string value = Value(1 * kMegabyte, 6);
   const std::string begun = "*3\r\n" + value.substr(0, 200'000);
@@ -148,14 +149,14 @@
   };
   write_all();
   CHECK(site.Ping() == "+PONG\r\n");  // small commands do not stand in that line
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   for (std::size_t served = 0; served < kClients; ++served) {
     while (!site.calls().HasMore()) write_all(), usleep(500);
     site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    const auto came = hop->Command();
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    const auto came = upstream->Command();
     CHECK((came.at(4) == body));
-    hop->Send(kValue);
+    upstream->Send(kValue);
     CHECK(clients[static_cast<std::size_t>(came.at(2).at(1) - '0')].Until("hi\r\n") == "$2\r\nhi\r\n");
   }
   CHECK(site.PeakMemory() < 32 * kMegabyte + kSanitizers);
@@ -179,7 +180,7 @@
     usleep(200'000);
   }
   site.Grant();
-  CHECK(site.hop(0).Accept().Command().at(2) == "s");
+  CHECK(site.upstream(0).Accept().Command().at(2) == "s");
   for (Peer& peer : stopped) CHECK(peer.Line() == "-ERR Protocol error: command not finished in time\r\n");
   const std::string rest = std::string(4'000'000, 'x') + "\r\n";  // the room is free: what waited is read
   for (std::size_t at = 0; at < rest.size(); usleep(500)) {
@@ -202,21 +203,21 @@
   Peer slow = site.Client();
   const std::string command = Read("slow");
   slow.Send(command.substr(0, 50));
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   for (int i = 0; i < 6; ++i) {
     more(10);
     Peer quick = site.Client();
     quick.Send(Read("q"));
     site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    CHECK(hop->Command().at(2) == "q");
-    hop->Send(kValue);
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    CHECK(upstream->Command().at(2) == "q");
+    upstream->Send(kValue);
     CHECK(quick.Until("hi\r\n") == "$2\r\nhi\r\n");
   }
   slow.Send(command.substr(50));
   site.Grant();
-  CHECK(hop->Command().at(2) == "slow");
-  hop->Send(kValue);
+  CHECK(upstream->Command().at(2) == "slow");
+  upstream->Send(kValue);
   CHECK(slow.Until("hi\r\n") == "$2\r\nhi\r\n");
   more(60);
   site.Terminate();
--- a/tests/idempotency/cluster.h
+++ b/tests/idempotency/cluster.h
@@ -1,5 +1,5 @@
-// Keepers of several gatekeepers in modelled time, with pods that drop repeats, datagrams that are lost,
-// doubled, late and out of order, and gatekeepers that die and come back. One seed, one thread; the same seed
+// Keepers of several gateways in modelled time, with pods that drop repeats, datagrams that are lost,
+// doubled, late and out of order, and gateways that die and come back. One seed, one thread; the same seed
 // gives the same run. It keeps books of its own: what was applied, and what each client was told.
 #ifndef POSTSPREAD_TESTS_IDEMPOTENCY_CLUSTER_H_
 #define POSTSPREAD_TESTS_IDEMPOTENCY_CLUSTER_H_
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "idempotency/digest.h"
-#include "idempotency/keeper.h"
+#include "idempotency/replica.h"
 
 namespace postspread::idempotency::testing {
 
@@ -46,15 +46,15 @@
 
 class Cluster {
  public:
-  Cluster(int gatekeepers, Limits limits, std::uint64_t seed, Faults faults = {})
-      : limits_(limits), faults_(faults), random_(seed), nodes_(static_cast<std::size_t>(gatekeepers)) {
+  Cluster(int gateways, Limits limits, std::uint64_t seed, Faults faults = {})
+      : limits_(limits), faults_(faults), random_(seed), nodes_(static_cast<std::size_t>(gateways)) {
     limits_.enabled = true;
-    for (int i = 0; i < gatekeepers; ++i) Start(i);
+    for (int i = 0; i < gateways; ++i) Start(i);
   }
 
   TimePoint now() const { return now_; }
-  Keeper& keeper(int rank) { return *nodes_[static_cast<std::size_t>(rank)].keeper; }
-  bool alive(int rank) const { return nodes_[static_cast<std::size_t>(rank)].keeper != nullptr; }
+  IdempotencyReplica& replica(int rank) { return *nodes_[static_cast<std::size_t>(rank)].replica; }
+  bool alive(int rank) const { return nodes_[static_cast<std::size_t>(rank)].replica != nullptr; }
   std::mt19937_64& random() { return random_; }
   double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
@@ -65,15 +65,15 @@
   std::vector<Pod> pods{{1, 3}, {2, 3}, {3, 3}};
   bool knows_pins = true;  // false: work goes to any pod, as without the store's word
 
-  // A request by `client`, through this gatekeeper. Returns its number.
-  WaiterId Send(int rank, const std::string& k, Duration patience = seconds(8), const std::string& body = "b",
+  // A request by `client`, through this gateway. Returns its number.
+  WaiterId Send(int rank, const std::string& k, Duration timeout = seconds(8), const std::string& body = "b",
                 const std::string& customer = "c") {
     Ask ask;
     ask.waiter = next_waiter_++;
     ask.key = DigestKey(customer, "change", k);
     ask.fingerprint = DigestRequest(customer, "change", k, 1, body);
     ask.customer = DigestCustomer(customer);
-    ask.deadline = now_ + patience;
+    ask.deadline = now_ + timeout;
     ask.window = seconds(15);
     ask.pinned = true;
     ask.work.spread = static_cast<std::int16_t>(nodes_.size());
@@ -84,11 +84,11 @@
     }
     Node& node = nodes_[static_cast<std::size_t>(rank)];
     node.held.push_back(ask.waiter);
-    node.keeper->SetPods(pods);
-    Carry(rank, node.keeper->Begin(ask, now_));
+    node.replica->SetPods(pods);
+    Carry(rank, node.replica->Begin(ask, now_));
     return ask.waiter;
   }
-  void Gone(int rank, WaiterId waiter) { Carry(rank, keeper(rank).WaiterGone(waiter, now_)); }
+  void Gone(int rank, WaiterId waiter) { Carry(rank, replica(rank).OnClientDisconnect(waiter, now_)); }
 
   void Kill(int rank) {
     Node& node = nodes_[static_cast<std::size_t>(rank)];
@@ -98,16 +98,16 @@
       }
     }
     node.held.clear();
-    node.keeper.reset();
+    node.replica.reset();
     ++node.epoch;
   }
   void Start(int rank) {
     Node& node = nodes_[static_cast<std::size_t>(rank)];
-    node.keeper =
-        std::make_unique<Keeper>(limits_,
-                                 Keeper::Place{rank, static_cast<int>(nodes_.size()), nodes_.size() > 1,
-                                               static_cast<std::uint64_t>(now_.count()) + 1},
-                                 now_);
+    node.replica = std::make_unique<IdempotencyReplica>(
+        limits_,
+        IdempotencyReplica::Identity{rank, static_cast<int>(nodes_.size()), nodes_.size() > 1,
+                                     static_cast<std::uint64_t>(now_.count()) + 1},
+        now_);
   }
 
   // Runs everything that is due up to now + span.
@@ -118,7 +118,7 @@
       TimePoint next = until;
       for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
         if (!alive(i)) continue;
-        const auto tick = keeper(i).NextTick();
+        const auto tick = replica(i).NextTick();
         if (tick && *tick < next) next = *tick, who = i;
       }
       if (!events_.empty() && events_.top().at <= next && events_.top().at <= until) {
@@ -128,7 +128,7 @@
         run();
       } else if (who >= 0) {
         now_ = std::max(now_, next);
-        Carry(who, keeper(who).Tick(now_));
+        Carry(who, replica(who).Tick(now_));
       } else {
         break;
       }
@@ -191,7 +191,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<Keeper> keeper;
+    std::unique_ptr<IdempotencyReplica> replica;
     std::vector<WaiterId> held;
     int epoch = 0;
   };
@@ -212,21 +212,21 @@
 
   void Carry(int rank, Actions actions) {
     for (const Action& action : std::vector<Action>(actions.begin(), actions.end())) {
-      if (const auto* start = std::get_if<idempotency::Start>(&action)) {
+      if (const auto* start = std::get_if<idempotency::StartRequest>(&action)) {
         Work(rank, *start);
-      } else if (const auto* serve = std::get_if<Serve>(&action)) {
+      } else if (const auto* serve = std::get_if<CompleteRequest>(&action)) {
         Tell(serve->waiter, Told::kServed, *serve->value);
-      } else if (const auto* defer = std::get_if<Defer>(&action)) {
+      } else if (const auto* defer = std::get_if<RejectWithRetryAfter>(&action)) {
         Tell(defer->waiter, Told::kDeferred);
-      } else if (const auto* fail = std::get_if<Fail>(&action)) {
-        Tell(fail->waiter, fail->reason == FailReason::kUnknown ? Told::kUnknown
-                           : fail->reason == FailReason::kOther ? Told::kOther
-                                                                : Told::kAnswerGone);
-      } else if (const auto* forget = std::get_if<Forget>(&action)) {
+      } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
+        Tell(fail->waiter, fail->reason == FailureReason::kUnknown ? Told::kUnknown
+                           : fail->reason == FailureReason::kOther ? Told::kOther
+                                                                   : Told::kAnswerGone);
+      } else if (const auto* forget = std::get_if<ReleaseRequest>(&action)) {
         Tell(forget->waiter, Told::kDropped);
-      } else if (const auto* tell = std::get_if<idempotency::Tell>(&action)) {
+      } else if (const auto* tell = std::get_if<idempotency::SendDatagram>(&action)) {
         Datagram(rank, tell->rank, tell->bytes);
-      } else if (const auto* pass = std::get_if<Pass>(&action)) {
+      } else if (const auto* pass = std::get_if<StartUnprotected>(&action)) {
         Tell(pass->waiter, Told::kServed, "passed");
       }
     }
@@ -240,12 +240,12 @@
           faults_.least_delay +
           Duration(static_cast<std::int64_t>(delay * static_cast<double>(faults_.most_delay.count())));
       At(now_ + late, [this, from, to, bytes] {
-        if (alive(to)) Carry(to, keeper(to).Received(from, bytes, now_));
+        if (alive(to)) Carry(to, replica(to).Received(from, bytes, now_));
       });
     }
   }
 
-  void Work(int rank, const idempotency::Start& start) {
+  void Work(int rank, const idempotency::StartRequest& start) {
     const KeyId key = asked_[start.waiter].first;
     const std::int64_t pod =
         knows_pins && start.pin.has_pod ? start.pin.pod : pods[random_() % pods.size()].id;
@@ -254,7 +254,7 @@
     const auto end = [this, rank, epoch, waiter = start.waiter](TimePoint at, End how, std::string value) {
       At(at, [this, rank, epoch, waiter, how, value] {
         if (!alive(rank) || nodes_[static_cast<std::size_t>(rank)].epoch != epoch) return;
-        Carry(rank, keeper(rank).Ended(waiter, how, value, milliseconds(10), now_));
+        Carry(rank, replica(rank).OnWorkFinished(waiter, how, value, milliseconds(10), now_));
       });
     };
     if (!treatment.runs) return end(now_ + milliseconds(1), End::kRefused, "");
--- a/tests/idempotency/cluster_test.cpp
+++ b/tests/idempotency/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The keepers of several gatekeepers together, in modelled time: each hard case, and random runs.
+// The replicas of several gateways together, in modelled time: each hard case, and random runs.
 #include "cluster.h"
 
 #include <catch2/catch.hpp>
@@ -49,7 +49,7 @@
   std::vector<Peers::Seen> view(100);
   view[95].gone = true;
   for (int i = 0; i < 100; ++i) {
-    if (cluster.alive(i)) cluster.keeper(i).SetView(view);
+    if (cluster.alive(i)) cluster.replica(i).SetView(view);
   }
   const WaiterId again = cluster.Send(96, "held");
   cluster.Run(milliseconds(1'400));  // silence alone would take 1.5 s to tell
@@ -174,7 +174,7 @@
     CHECK(cluster.AnswerOf(first)->value == cluster.AnswerOf(second)->value);
     CHECK(cluster.AnswerOf(first)->value == cluster.AnswerOf(third)->value);
     CHECK(cluster.AnswerOf(first)->value.size() >= size);
-    CHECK(cluster.keeper(1).used() <= cluster.keeper(1).bound());
+    CHECK(cluster.replica(1).used() <= cluster.replica(1).bound());
     CHECK(cluster.applied("k") == 1);
   }
 }
@@ -223,7 +223,7 @@
   cluster.Run(seconds(1));
   CHECK(cluster.AnswerOf(first)->told == Told::kDeferred);
   CHECK(cluster.AnswerOf(second)->told == Told::kDeferred);
-  CHECK(cluster.keeper(0).size() == 0);
+  CHECK(cluster.replica(0).size() == 0);
   runs = true;
   const WaiterId again = cluster.Send(1, "k");
   cluster.Run(seconds(1));
@@ -244,17 +244,17 @@
   std::vector<WaiterId> greedy, modest;
   for (int i = 0; i < 1'000; ++i) {
     greedy.push_back(cluster.Send(0, "g" + std::to_string(i), seconds(8), "b", "greedy"));
-    CHECK(cluster.keeper(0).used() <= cluster.keeper(0).bound());
+    CHECK(cluster.replica(0).used() <= cluster.replica(0).bound());
     if (i % 50 == 0) modest.push_back(cluster.Send(0, "m" + std::to_string(i), seconds(8), "b", "modest"));
     cluster.Run(milliseconds(2));
   }
   cluster.Run(seconds(3));
-  CHECK(cluster.keeper(0).peak() <= cluster.keeper(0).bound());
+  CHECK(cluster.replica(0).peak() <= cluster.replica(0).bound());
   for (const WaiterId waiter : modest) CHECK(cluster.AnswerOf(waiter)->told == Told::kServed);
   int deferred = 0;
   for (const WaiterId waiter : greedy) deferred += cluster.AnswerOf(waiter)->told == Told::kDeferred;
   CHECK(deferred > 500);
-  CHECK(cluster.keeper(0).counts().full_deferred == static_cast<std::uint64_t>(deferred));
+  CHECK(cluster.replica(0).counts().full_deferred == static_cast<std::uint64_t>(deferred));
   // None of those that may have run was thrown out: a repeat is not taken for a new change.
   cluster.Run(seconds(15));
   for (int i = 0; i < 10; ++i) {
@@ -272,14 +272,14 @@
   for (int i = 0; i < 500; ++i) cluster.Send(0, "k" + std::to_string(i));
   cluster.Run(seconds(2));
   CHECK(cluster.told(Told::kDeferred) == 0);
-  CHECK(cluster.keeper(0).counts().full_passed > 100);
+  CHECK(cluster.replica(0).counts().full_passed > 100);
 }
 
 TEST_CASE("a pod that drains while a key is unknown: nothing goes elsewhere, and the client is told") {
   Cluster cluster(3, Fast(), 11);
   std::int64_t home = 0;
   cluster.treat = [&](const KeyId&, std::int64_t pod) {
-    // The module finds no next hop in a drained pod and gives the request up: it may have run before.
+    // The module finds no upstream in a drained pod and gives the request up: it may have run before.
     if (home == pod) return Treatment{.service = seconds(20), .answers = false};
     home = pod;
     return Treatment{.answers = false};
@@ -310,17 +310,17 @@
   }
 }
 
-// Many changes, each sent up to five times through random gatekeepers within the store's own time, while
-// datagrams are lost, doubled, late and out of order, one gatekeeper dies and comes back, and pods fail.
+// Many changes, each sent up to five times through random gateways within the store's own time, while
+// datagrams are lost, doubled, late and out of order, one gateway dies and comes back, and pods fail.
 struct Tally {
   int twice = 0, badly = 0, different = 0, served = 0, asked = 0;
 };
-Tally RandomRun(std::uint64_t seed, bool knows_pins, Faults faults, int gatekeepers = 3,
+Tally RandomRun(std::uint64_t seed, bool knows_pins, Faults faults, int gateways = 3,
                 std::size_t witnesses = 2) {
   Limits limits = Fast();
   limits.datagrams_per_second = seed % 2 == 0 ? 2'000 : 40;
   limits.witnesses = witnesses;
-  Cluster cluster(gatekeepers, limits, seed, faults);
+  Cluster cluster(gateways, limits, seed, faults);
   cluster.knows_pins = knows_pins;
   cluster.treat = [&](const KeyId&, std::int64_t) {
     const double chance = cluster.Chance();
@@ -336,13 +336,13 @@
     for (int j = 0; j < tries; ++j, ++asked) {
       const double far = cluster.Chance() < 0.5 ? 1e6 : 30e6;
       const TimePoint at = first + Duration(static_cast<std::int64_t>(cluster.Chance() * far));
-      cluster.At(at, [&cluster, i,
-                      rank = static_cast<int>(cluster.random()() % static_cast<unsigned>(gatekeepers))] {
-        cluster.Send(rank, "k" + std::to_string(i), milliseconds(1'000 + 1'000 * (i % 5)));
-      });
+      cluster.At(
+          at, [&cluster, i, rank = static_cast<int>(cluster.random()() % static_cast<unsigned>(gateways))] {
+            cluster.Send(rank, "k" + std::to_string(i), milliseconds(1'000 + 1'000 * (i % 5)));
+          });
     }
   }
-  const int victim = static_cast<int>(seed) % gatekeepers;
+  const int victim = static_cast<int>(seed) % gateways;
   cluster.At(begin + seconds(5), [&cluster, victim] { cluster.Kill(victim); });
   cluster.At(begin + milliseconds(5'300 + 2'000 * (seed % 3)), [&cluster, victim] { cluster.Start(victim); });
   cluster.Run(seconds(70));
@@ -367,10 +367,10 @@
 }
 
 TEST_CASE("two, four and five gatekeepers, with two witnesses or one for each, keep the same promises") {
-  for (const int gatekeepers : {2, 4, 5}) {
+  for (const int gateways : {2, 4, 5}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      INFO(gatekeepers << " gatekeepers, seed " << seed);
-      const Tally tally = RandomRun(seed, true, {.loss = 0.1}, gatekeepers, seed % 2 == 0 ? 2 : 5);
+      INFO(gateways << " gatekeepers, seed " << seed);
+      const Tally tally = RandomRun(seed, true, {.loss = 0.1}, gateways, seed % 2 == 0 ? 2 : 5);
       CHECK(tally.twice == 0);
       CHECK(tally.badly == 0);
       CHECK(tally.different == 0);
--- a/tests/idempotency/model_test.cpp
+++ b/tests/idempotency/model_test.cpp
@@ -1,4 +1,4 @@
-// One keeper against a plain model of the state table in its header: whatever is asked, ended, given up and
+// One replica against a plain model of the state table in its header: whatever is asked, ended, given up and
 // waited for, both do the same. 100 lists of 1,000 steps; a failing list is shrunk and printed.
 #include <rapidcheck.h>
 
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "idempotency/digest.h"
-#include "idempotency/keeper.h"
+#include "idempotency/replica.h"
 
 namespace postspread::idempotency {
 namespace {
@@ -153,16 +153,16 @@
 
 void Note(Actions actions, Seen& seen) {
   for (const Action& action : actions) {
-    if (const auto* start = std::get_if<Start>(&action)) {
+    if (const auto* start = std::get_if<StartRequest>(&action)) {
       seen.insert(Say("start", start->waiter, start->pin.may_have_run ? "again" : ""));
       RC_ASSERT(start->pin.has_pod && start->pin.pod == 4);
-    } else if (const auto* serve = std::get_if<Serve>(&action)) {
+    } else if (const auto* serve = std::get_if<CompleteRequest>(&action)) {
       seen.insert(Say("serve", serve->waiter, *serve->value));
-    } else if (const auto* defer = std::get_if<Defer>(&action)) {
+    } else if (const auto* defer = std::get_if<RejectWithRetryAfter>(&action)) {
       seen.insert(Say("defer", defer->waiter));
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      seen.insert(Say(fail->reason == FailReason::kUnknown ? "unknown" : "other", fail->waiter));
-    } else if (const auto* forget = std::get_if<Forget>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
+      seen.insert(Say(fail->reason == FailureReason::kUnknown ? "unknown" : "other", fail->waiter));
+    } else if (const auto* forget = std::get_if<ReleaseRequest>(&action)) {
       seen.insert(Say("forget", forget->waiter));
     } else {
       RC_FAIL("an action that a keeper alone never takes");
@@ -193,8 +193,8 @@
     limits.enabled = true;
     limits.keep = std::chrono::duration_cast<milliseconds>(kKeep);
     limits.max_waiters = kMaxWaiters;
-    Keeper keeper(limits, {}, now);
-    keeper.SetPods({{4, 1}});
+    IdempotencyReplica replica(limits, {}, now);
+    replica.SetPods({{4, 1}});
     Model model;
     WaiterId next = 1;
     for (const Op& o : ops) {
@@ -213,18 +213,18 @@
                       .window = kWindow,
                       .pinned = true,
                       .work = {}};
-        Note(keeper.Begin(ask, now), seen);
+        Note(replica.Begin(ask, now), seen);
         model.Ask(o.key, o.body, next, ask.deadline, now, expected);
         ++next;
       } else if (o.step == Step::kGone) {
         const WaiterId id = next > 8 ? next - 1 - static_cast<WaiterId>(o.amount % 8) : 1;
-        Note(keeper.WaiterGone(id, now), seen);
+        Note(replica.OnClientDisconnect(id, now), seen);
         model.Gone(id, expected);
       } else if (o.step == Step::kWait) {
         const TimePoint until = now + milliseconds(o.amount);
-        while (keeper.NextTick() && *keeper.NextTick() <= until) {
-          now = std::max(now, *keeper.NextTick());
-          Note(keeper.Tick(now), seen);
+        while (replica.NextTick() && *replica.NextTick() <= until) {
+          now = std::max(now, *replica.NextTick());
+          Note(replica.Tick(now), seen);
         }
         now = until;
         model.Wait(now, expected);
@@ -232,19 +232,19 @@
         const int name = running[static_cast<std::size_t>(o.key) % running.size()];
         const std::string value = "value of " + std::to_string(next);
         const WaiterId id = model.keys[name].running;
-        RC_ASSERT(keeper.Runs(id));
+        RC_ASSERT(replica.Runs(id));
         const End end = o.step == Step::kServe    ? End::kServed
                         : o.step == Step::kRefuse ? End::kRefused
                                                   : End::kFailed;
-        Note(keeper.Ended(id, end, value, Duration(1), now), seen);
+        Note(replica.OnWorkFinished(id, end, value, Duration(1), now), seen);
         model.End(name, o.step, value, now, expected);
         // What is over in time goes at the next tick.
-        if (keeper.NextTick() && *keeper.NextTick() <= now) Note(keeper.Tick(now), seen);
+        if (replica.NextTick() && *replica.NextTick() <= now) Note(replica.Tick(now), seen);
         model.Wait(now, expected);
       }
       RC_ASSERT(Joined(seen) == Joined(expected));
-      RC_ASSERT(keeper.size() == model.keys.size());
-      RC_ASSERT(keeper.peak() <= keeper.bound());
+      RC_ASSERT(replica.size() == model.keys.size());
+      RC_ASSERT(replica.peak() <= replica.bound());
     }
   }));
 }
--- a/tests/idempotency/peers_test.cpp
+++ b/tests/idempotency/peers_test.cpp
@@ -19,7 +19,7 @@
   CHECK_FALSE(peers.Restarted(1, kLife + kHour));
   CHECK(peers.Heard(1, kLife + 1, begin + 11 * kSecond));
   CHECK(peers.Restarted(1, kLife + kHour));
-  CHECK(peers.Life(1) == kLife + 1);
+  CHECK(peers.Incarnation(1) == kLife + 1);
   // From then on that is its life, and a further start is a higher one.
   CHECK(peers.Heard(1, kLife + 1, begin + 12 * kSecond));
   CHECK(peers.Heard(1, kLife + 2, begin + 12 * kSecond));
--- a/tests/idempotency/process_test.cpp
+++ b/tests/idempotency/process_test.cpp
@@ -1,4 +1,4 @@
-// The store of keys in the real program, one gatekeeper on sockets. Several of them: bench/idempotency.
+// The store of keys in the real program, one gateway on sockets. Several of them: bench/idempotency.
 #include "partners/site.h"
 
 namespace postspread {
@@ -38,21 +38,21 @@
   Peer first = site.Client(), second = site.Client();
   first.Send(Write("one", "k1"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command()[2] == "one");
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command()[2] == "one");
   second.Send(Write("two", "k1"));
   // The second is in the store before the answer comes: its connection answers in order.
   second.Send(Command({"PING", "x"}));
   first.Send(Command({"PING", "x"}));
   site.WaitUntilReady();
-  hop.Send(kMade);
+  upstream.Send(kMade);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
   Peer third = site.Client();
   third.Send(Write("three", "k1"));
   CHECK(third.Until("made\r\n") == "$4\r\nmade\r\n");
-  CHECK_FALSE(hop.HasMore());
-  CHECK_FALSE(site.hop(0).Asked());
+  CHECK_FALSE(upstream.HasMore());
+  CHECK_FALSE(site.upstream(0).Asked());
   CHECK_FALSE(site.calls().HasMore());
 }
 
@@ -62,11 +62,11 @@
   Peer first = site.Client(), second = site.Client();
   first.Send(Write("one", "k1"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command()[2] == "one");
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command()[2] == "one");
   second.Send(Write("two", "k1"));
   site.Grant();
-  Peer other = site.hop(0).Accept();
+  Peer other = site.upstream(0).Accept();
   CHECK(other.Command()[2] == "two");
 }
 
@@ -76,11 +76,11 @@
   Peer first = site.Client(), second = site.Client();
   first.Send(Write("one", "k1", "to monday"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   second.Send(Write("two", "k1", "to friday"));
   CHECK(second.Line() == "-ERR this key was used for another request\r\n");
-  hop.Send(kMade);
+  upstream.Send(kMade);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
 }
 
@@ -97,15 +97,15 @@
   client.Send(Write("one", "k1"));
   site.Grant();
   const int home = site.Dialled();
-  Peer hop = site.hop(home).Accept();
-  hop.Command();
-  hop.Close();
+  Peer upstream = site.upstream(home).Accept();
+  upstream.Command();
+  upstream.Close();
   CHECK(client.Line() == kUnknown);
   client.Send(Write("two", "k1"));
   site.Grant();
-  Peer again = site.hop(home).Accept();
+  Peer again = site.upstream(home).Accept();
   CHECK(again.Command()[2] == "two");
-  CHECK_FALSE(site.hop(1 - home).Asked());
+  CHECK_FALSE(site.upstream(1 - home).Asked());
   again.Send(kMade);
   CHECK(client.Until("made\r\n") == "$4\r\nmade\r\n");
 }
@@ -123,9 +123,9 @@
   client.Send(Write("one", "k1"));
   site.Grant();
   const int home = site.Dialled();
-  Peer hop = site.hop(home).Accept();
-  hop.Command();
-  hop.Close();
+  Peer upstream = site.upstream(home).Accept();
+  upstream.Command();
+  upstream.Close();
   CHECK(client.Line() == kUnknown);
   entries[static_cast<std::size_t>(home)]["status"] = "Terminating";
   site.Tell(Site::List(true, entries));
@@ -133,8 +133,8 @@
   client.Send(Write("two", "k1"));
   site.Grant();
   CHECK(client.Line() == kUnknown);
-  CHECK_FALSE(site.hop(0).Asked());
-  CHECK_FALSE(site.hop(1).Asked());
+  CHECK_FALSE(site.upstream(0).Asked());
+  CHECK_FALSE(site.upstream(1).Asked());
 }
 
 TEST_CASE("the first client goes away: its work goes on for the one that waits") {
@@ -143,15 +143,15 @@
   Peer first = site.Client(), second = site.Client();
   first.Send(Write("one", "k1"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command()[2] == "one");
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command()[2] == "one");
   second.Send(Write("two", "k1"));
   second.Send(Command({"PING", "x"}));
   site.WaitUntilReady();
   first.Close();
   site.WaitUntilReady();
-  CHECK_FALSE(hop.HasMore());  // not given up
-  hop.Send(kMade);
+  CHECK_FALSE(upstream.HasMore());  // not given up
+  upstream.Send(kMade);
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
 }
 
@@ -162,8 +162,8 @@
   Peer first = site.Client(), second = site.Client();
   first.Send(Write("one", "k1"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   second.Send(Write("two", "k1"));
   second.Send(Command({"PING", "x"}));
   site.WaitUntilReady();
@@ -182,7 +182,7 @@
   site.Logged("idempotency.keep is shorter than the KeyTtl of class \"move\", 30000ms");
   site.Terminate();
   site.Logged("draining");
-  hop.Send(kMade);
+  upstream.Send(kMade);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(site.Wait() == 0);
--- a/tests/idempotency/wire_test.cpp
+++ b/tests/idempotency/wire_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams between keepers: what is written is read, and what is spoilt is refused whole.
+// Datagrams between replicas: what is written is read, and what is spoilt is refused whole.
 #include "idempotency/wire.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
     const auto read = DecodeDatagram(bytes);
     REQUIRE(read);
     CHECK(read->header.rank == 2);
-    CHECK(read->header.life == 77);
+    CHECK(read->header.incarnation == 77);
     REQUIRE(read->records.size() == 1);
     CHECK(read->records[0] == record);
   }
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership/fleet.h"
+#include "membership/membership.h"
 
 namespace postspread::membership::testing {
 
@@ -28,8 +28,8 @@
 class Model {
  public:
   Model(int members, std::uint64_t seed, Limits limits = {}, Faults faults = {},
-        Without without = Without::kNothing)
-      : faults(faults), limits_(limits), without_(without), random_(seed) {
+        DisabledDefense disabled = DisabledDefense::kNothing)
+      : faults(faults), limits_(limits), without_(disabled), random_(seed) {
     limits_.enabled = true;
     for (int i = 0; i < members; ++i) nodes_.push_back(std::make_unique<Node>());
   }
@@ -37,9 +37,9 @@
   Faults faults;
   std::function<bool(int from, int to)> cut = [](int, int) { return false; };
   // Places that a process knows when it starts; by default all.
-  std::function<std::vector<Place>(int)> seeds = [this](int) {
-    std::vector<Place> out;
-    for (int i = 0; i < size(); ++i) out.push_back(static_cast<Place>(i));
+  std::function<std::vector<PeerId>(int)> seeds = [this](int) {
+    std::vector<PeerId> out;
+    for (int i = 0; i < size(); ++i) out.push_back(static_cast<PeerId>(i));
     return out;
   };
   std::function<std::string(int)> name = [](int i) { return "gk-" + std::to_string(i); };
@@ -50,7 +50,7 @@
   std::mt19937_64& random() { return random_; }
   double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-  Fleet& fleet(int i) { return *node(i).fleet; }
+  Membership& fleet(int i) { return *node(i).fleet; }
   bool alive(int i) const { return nodes_[static_cast<std::size_t>(i)]->fleet != nullptr; }
   void Start(int i, Duration skew = Duration(0)) {
     Node& n = node(i);
@@ -58,9 +58,11 @@
     n.stopped = false;
     n.inbox.clear();
     const TimePoint here = now_ + skew;
-    const auto life = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(here).count());
-    n.fleet = std::make_unique<Fleet>(Fleet::Self{name(i), static_cast<Place>(i), life, false}, seeds(i),
-                                      limits_, random_(), here, without_);
+    const auto incarnation =
+        static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(here).count());
+    n.fleet =
+        std::make_unique<Membership>(Membership::Self{name(i), static_cast<PeerId>(i), incarnation, false},
+                                     seeds(i), limits_, random_(), here, without_);
     ++n.epoch;
     Carry(i);
   }
@@ -91,7 +93,7 @@
     events_.push({now_ + after, order_++, std::move(what)});
   }
   // Hands bytes to a member as though they came from that place.
-  void Inject(int to, Place from, const std::string& bytes) {
+  void Inject(int to, PeerId from, const std::string& bytes) {
     if (!alive(to)) return;
     fleet(to).Received(from, bytes, Here(to));
     Carry(to);
@@ -123,7 +125,7 @@
   // What each of `side` ought to hold: these and their lives.
   bool Agree(const std::vector<int>& side) {
     std::uint64_t wanted = 0;
-    for (const int i : side) wanted ^= DigestMember(fleet(i).name(), fleet(i).life());
+    for (const int i : side) wanted ^= DigestMember(fleet(i).name(), fleet(i).incarnation());
     for (const int i : side) {
       if (fleet(i).hash() != wanted) return false;
     }
@@ -141,8 +143,8 @@
   bool SeenByAny(int i) {
     for (const int other : Living()) {
       if (other == i) continue;
-      const std::optional<Word> word = fleet(other).At(static_cast<Place>(i));
-      if (word && Lives(word->state)) return true;
+      const std::optional<MemberUpdate> update = fleet(other).At(static_cast<PeerId>(i));
+      if (update && IsLive(update->state)) return true;
     }
     return false;
   }
@@ -152,7 +154,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<Fleet> fleet;
+    std::unique_ptr<Membership> fleet;
     std::uint64_t epoch = 0;
     Duration skew{0};
     bool stopped = false;
@@ -170,7 +172,7 @@
 
   void Carry(int i) {
     Node& n = node(i);
-    for (Fleet::Datagram& d : n.fleet->TakeDatagrams()) {
+    for (Membership::Datagram& d : n.fleet->TakeDatagrams()) {
       ++sent;
       bytes += d.bytes.size();
       largest = std::max<std::uint64_t>(largest, d.bytes.size());
@@ -188,7 +190,8 @@
       for (int other = 0; other < size(); ++other) {
         // Across a cut it is a death for all that this side can know.
         if (cut(i, other) || cut(other, i)) continue;
-        if (name(other) == change.name && alive(other) && fleet(other).life() == change.life) ++false_deaths;
+        if (name(other) == change.name && alive(other) && fleet(other).incarnation() == change.incarnation)
+          ++false_deaths;
       }
     }
     Schedule(i);
@@ -200,7 +203,7 @@
       if (n.inbox.size() < 256) n.inbox.emplace_back(from, bytes);
       return;
     }
-    n.fleet->Received(static_cast<Place>(from), bytes, Here(to));
+    n.fleet->Received(static_cast<PeerId>(from), bytes, Here(to));
     Carry(to);
   }
   void Schedule(int i) {
@@ -221,7 +224,7 @@
   }
 
   Limits limits_;
-  Without without_;
+  DisabledDefense without_;
   std::mt19937_64 random_;
   TimePoint now_{std::chrono::hours(24 * 365 * 56)};
   std::uint64_t order_ = 0;
--- a/tests/net/attempt_test.cpp
+++ b/tests/net/attempt_test.cpp
@@ -12,7 +12,7 @@
                   "c=change,t=team,d=60000,k=00000000000000aa,units=1,spread=2,first=0", "x"});
 }
 
-// A site whose one class is keyed over all next hops, for so many microseconds, beside a second, slow next
+// A site whose one class is keyed over all upstreams, for so many microseconds, beside a second, slow next
 // hop.
 struct Late {
   explicit Late(std::int64_t window)
@@ -27,7 +27,7 @@
                       {"KeyTtl", window}}}}}}}) {
     site.Start(1);
   }
-  // The list gets the slow next hop in the place of the first, which ends nothing that is under way there.
+  // The list gets the slow upstream in the place of the first, which ends nothing that is under way there.
   void TurnToSlow() {
     json entries = site.Entries(0, 1, "Terminating");
     entries.push_back({{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}});
@@ -47,10 +47,10 @@
   Peer client = late.site.Client();
   client.Send(Write("one"));
   late.site.Grant();
-  Peer hop = late.site.hop(0).Accept();
-  CHECK(hop.Command().at(0) == "API.WRITE");  // has come whole: it may have run
+  Peer upstream = late.site.upstream(0).Accept();
+  CHECK(upstream.Command().at(0) == "API.WRITE");  // has come whole: it may have run
   late.TurnToSlow();
-  hop.Reset();
+  upstream.Reset();
   late.slow.Dialled();
   late.slow.Open();
   Peer second = late.slow.port().Accept();
@@ -73,8 +73,8 @@
   client.Send(Read("one"));
   slow.Dialled();
   slow.Open();
-  Peer hop = slow.port().Accept();
-  const std::string extras = hop.Command().at(3);
+  Peer upstream = slow.port().Accept();
+  const std::string extras = upstream.Command().at(3);
   const std::size_t at = extras.find(",d=");
   REQUIRE(at != std::string::npos);
   // The dial takes a second, of the 60 that the client waits.
@@ -99,10 +99,10 @@
   site.Grant();
   // The first request's dial, where it goes on, comes up as well, and ends with nothing sent.
   std::string sent;
-  std::vector<Peer> hops;  // kept: a request on one that closed would be sent again
-  while (hops.size() < (cancels ? 1 : 2)) {
-    hops.push_back(slow.port().Accept());
-    sent += hops.back().Some(4096);
+  std::vector<Peer> upstreams;  // kept: a request on one that closed would be sent again
+  while (upstreams.size() < (cancels ? 1 : 2)) {
+    upstreams.push_back(slow.port().Accept());
+    sent += upstreams.back().Some(4096);
   }
   CHECK(sent.find("one") == std::string::npos);
   CHECK(sent.find("two") != std::string::npos);
@@ -128,10 +128,10 @@
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("one"));
-  Peer old = site.hop(0).Accept();
+  Peer old = site.upstream(0).Accept();
   old.Command();
   Port other;
-  const Port& place = moved ? other : site.hop(0);
+  const Port& place = moved ? other : site.upstream(0);
   site.Tell(Site::List(false, {{{"name", "s-0"},
                                 {"address", place.address()},
                                 {"since_ms", moved ? 0 : 1'700'000'000'000},
@@ -140,7 +140,7 @@
   old.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");  // what was under way ends as it would
   client.Send(Read("two"));
-  Peer now = (moved ? other : site.hop(0)).Accept();
+  Peer now = (moved ? other : site.upstream(0)).Accept();
   CHECK(now.Command().at(2) == "two");
   CHECK(old.Ended());
 }
@@ -170,30 +170,30 @@
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("zero"));
-  Peer first = site.hop(0).Accept();
+  Peer first = site.upstream(0).Accept();
   first.Command();
   first.Send(behind ? std::string(kValue) + kValue : std::string(kValue));
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   if (!behind) first.Send(kValue);
   CHECK(first.Ended());
   client.Send(Read("one"));
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   // The answer and the next request meet: that one is read as soon as the connection is free.
   site.Pause();
-  hop.Send(kValue);
+  upstream.Send(kValue);
   client.Send(Read("two"));
   site.Resume();
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  Peer second = site.hop(0).Accept();
+  Peer second = site.upstream(0).Accept();
   CHECK(second.Command().at(2) == "two");
-  hop.Send(kValue);
-  CHECK(hop.Ended());
+  upstream.Send(kValue);
+  CHECK(upstream.Ended());
   second.Send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
   CHECK(client.Until("no\r\n") == "$2\r\nno\r\n");
 }
 
-// Two next hops and a class that must not run twice.
+// Two upstreams and a class that must not run twice.
 struct Once {
   explicit Once(json changes = json::object()) : site(2, Merged(std::move(changes))) {}
   static json Merged(json changes) {
@@ -217,17 +217,17 @@
   Peer client = once.site.Client();
   client.Send(Once::Ask());
   const int picked = once.site.Dialled();
-  Peer hop = once.site.hop(picked).Accept();
+  Peer upstream = once.site.upstream(picked).Accept();
   if (half) {
-    hop.Command();
-    hop.Send("-BUS");
+    upstream.Command();
+    upstream.Send("-BUS");
   } else {
-    CHECK(hop.HasMore(kPatienceMs));  // all of it is in the machine's hands, and read by nobody
+    CHECK(upstream.HasMore(kTimeoutMs));  // all of it is in the machine's hands, and read by nobody
   }
-  hop.Reset();
+  upstream.Reset();
   CHECK(client.Line() == "-ERR failed\r\n");
-  CHECK_FALSE(once.site.hop(0).Asked());
-  CHECK_FALSE(once.site.hop(1).Asked());
+  CHECK_FALSE(once.site.upstream(0).Asked());
+  CHECK_FALSE(once.site.upstream(1).Asked());
 }
 
 TEST_CASE("a dial that comes up in the turn in which its time is over is one attempt, here or elsewhere") {
@@ -244,12 +244,12 @@
   Peer late = slow.port().Accept();  // a second after the dial: its time and its success wait together
   once.site.Resume();
   if (late.Some(4096).empty()) {
-    Peer hop = once.site.hop(0).Accept();
-    CHECK(hop.Command().at(2) == "one");
-    hop.Send(kValue);
+    Peer upstream = once.site.upstream(0).Accept();
+    CHECK(upstream.Command().at(2) == "one");
+    upstream.Send(kValue);
   } else {
     late.Send(kValue);
-    CHECK_FALSE(once.site.hop(0).Asked());
+    CHECK_FALSE(once.site.upstream(0).Asked());
   }
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
@@ -270,15 +270,15 @@
   moves.Dialled(2);
   Port other;
   site.Tell(Site::List(false, listed("Gone", other.address())));
-  std::vector<Peer> hops;
+  std::vector<Peer> upstreams;
   for (int i = 0; i < 24; ++i) {
-    hops.push_back(other.Accept());
-    hops.back().Command();
+    upstreams.push_back(other.Accept());
+    upstreams.back().Command();
   }
   CHECK_FALSE(other.Asked());
   drains.Left();
   moves.Left();
-  for (Peer& hop : hops) hop.Send(kValue);
+  for (Peer& upstream : upstreams) upstream.Send(kValue);
   for (int i = 0; i < 24; ++i) CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
--- a/tests/net/client_gone_test.cpp
+++ b/tests/net/client_gone_test.cpp
@@ -1,5 +1,5 @@
 // A client that has gone, in each state in which its connection may not be read from: what it asked for and
-// no next hop has yet is dropped.
+// no upstream has yet is dropped.
 #include <chrono>
 
 #include "partners/slow_port.h"
@@ -17,7 +17,7 @@
   return out;
 }
 
-// A site whose only next hop is still being dialled, so that all that is asked waits for its first byte.
+// A site whose only upstream is still being dialled, so that all that is asked waits for its first byte.
 struct Waiting {
   explicit Waiting(const json& changes = json::object()) : site(0, Merged(changes)) {
     site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -28,7 +28,7 @@
     return out;
   }
   // The client has just gone. That is noticed soon, and nothing that was asked before is sent: the next
-  // request is the first that the next hop sees.
+  // request is the first that the upstream sees.
   void CheckNothingSent() {
     const auto gone = std::chrono::steady_clock::now();
     slow.Left();
@@ -119,7 +119,7 @@
   Peer other = site.Client();
   other.Send(Read("two"));
   CHECK(site.Grant() == 0);  // its own unit, less the one that was not used
-  CHECK(site.hop(0).Accept().Command().at(2) == "two");
+  CHECK(site.upstream(0).Accept().Command().at(2) == "two");
   other.Send(Read("three"));
   CHECK(site.Grant() == 1);
 }
@@ -162,9 +162,9 @@
   }
   Peer client = site.Client();
   client.Send(Read("one"));
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command().at(2) == "one");
-  hop.Send(kValue);
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command().at(2) == "one");
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -13,7 +13,7 @@
 
 std::string Next(Peer& watch) { return watch.Until("\r\n\r\n"); }
 
-// A hundred gatekeepers that were refused once asked ten times a second each, and kept discovery overbooked;
+// A hundred gateways that were refused once asked ten times a second each, and kept discovery overbooked;
 // made to wait by the size of the group, three hundred were blind for up to 90 s.
 TEST_CASE("who is refused by discovery asks again after a pause, and soon enough in any group") {
   const int group = GENERATE(2, 20, 300);
--- a/tests/net/start_test.cpp
+++ b/tests/net/start_test.cpp
@@ -33,9 +33,9 @@
   CHECK(steady_clock::now() - started < kReadyWithin);
   Peer client = site.Client();  // ready is true: it serves
   client.Send(Read("one"));
-  Peer hop = node.Accept();
-  CHECK(hop.Command().at(2) == "one");
-  hop.Send(kValue);
+  Peer upstream = node.Accept();
+  CHECK(upstream.Command().at(2) == "one");
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
--- a/tests/net/stop_test.cpp
+++ b/tests/net/stop_test.cpp
@@ -28,9 +28,9 @@
   usleep(std::chrono::microseconds(kServesOn + milliseconds(100)).count());
   site.Resume();
   for (int i = 0; i < 2; ++i) {
-    Peer hop = site.hop(0).Accept();
-    const bool is_fresh = hop.Command().at(2) == "fresh";
-    hop.Send(kValue);
+    Peer upstream = site.upstream(0).Accept();
+    const bool is_fresh = upstream.Command().at(2) == "fresh";
+    upstream.Send(kValue);
     CHECK((is_fresh ? fresh : kept).Until("hi\r\n") == "$2\r\nhi\r\n");
   }
   CHECK(fresh.Ended());
@@ -40,7 +40,7 @@
   fresh.Close();
   kept.Close();
   CHECK(site.Wait() == 0);
-  CHECK_FALSE(site.hop(0).Asked());
+  CHECK_FALSE(site.upstream(0).Asked());
 }
 
 TEST_CASE("what a hanging next hop holds is answered before the platform may kill") {
@@ -48,13 +48,13 @@
   site.Start(1);
   Peer client = site.Client(), late = site.Client();
   client.Send(Read("one"));
-  Peer hop = site.hop(0).Accept();
-  hop.Command();  // and says nothing
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();  // and says nothing
   const auto stopped = steady_clock::now();
   site.Terminate();
   site.Logged("draining");
   late.Send(Read("two"));
-  Peer second = site.hop(0).Accept();
+  Peer second = site.upstream(0).Accept();
   const auto command = second.Command();
   CHECK(command.at(2) == "two");
   const std::string extras = command.at(3);
@@ -91,11 +91,11 @@
   site.Terminate();
   while (!site.Refuses()) usleep(10'000);
   client.Send(command.substr(command.size() / 2));
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command().at(2) == "half");
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command().at(2) == "half");
   site.Reload(json::object());  // a SIGHUP in the stop changes nothing of that
   site.Logged("configuration read again");
-  hop.Send(kValue);
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(client.Ended());
   client.Close();
@@ -124,10 +124,10 @@
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("one"));
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   const std::string body(500'000, 'v'), head = "$" + std::to_string(body.size()) + "\r\n";
-  hop.Send("*3\r\n" + head + body.substr(0, 1'000));
+  upstream.Send("*3\r\n" + head + body.substr(0, 1'000));
   CHECK(client.Until(std::string(100, 'v')).find(head) == 0);
   const std::string large = "*5\r\n$9\r\nAPI.WRITE\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$4000000\r\n";
   std::vector<Peer> bodies;
@@ -138,7 +138,7 @@
   const std::string rest = body.substr(1'000) + "\r\n$-1\r\n$-1\r\n";
   std::string got;
   for (std::size_t at = 0; at < rest.size();) {
-    at += hop.SendSome(std::string_view(rest).substr(at));
+    at += upstream.SendSome(std::string_view(rest).substr(at));
     if (!client.HasMore(1)) continue;
     const std::string part = client.Some(1 << 16);
     REQUIRE_FALSE(part.empty());  // the connection has ended
