--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -30,7 +30,7 @@
 
 TEST_CASE("this platform's own file lets gatekeepers tell one another of customers, and no more") {
   OperatorFile expected;
-  expected.demand.tell = true;
+  expected.usage.broadcast = true;
   CHECK(Load(DEPLOY_DIR "/fleet.conf") == expected);
   CHECK_THAT(Fault("demand {\n  tells = true\n}\n"),
              Catch::Contains("op.conf:2") && Catch::Contains("tells"));
@@ -58,21 +58,21 @@
 }
 
 TEST_CASE("the block of the view of the fleet is read, and its values are held against one another") {
-  const membership::Limits fleet =
+  const membership::Limits membership =
       Decode(
           "fleet {\n enabled = true\n name = \"south\"\n seeds = {\"10.0.0.1:7946\", \"10.0.0.2:7946\"}\n"
           " listen = \"10.0.0.3:7946\"\n datagram = 1kb\n datagrams_per_second = 50\n period = 500ms\n"
           " suspicion = 2s\n forget = 1h\n}\n",
           "op.conf")
-          .fleet;
-  CHECK(fleet.enabled);
-  CHECK(fleet.name == "south");
-  CHECK(fleet.seeds == std::vector<std::string>{"10.0.0.1:7946", "10.0.0.2:7946"});
-  CHECK(fleet.listen == "10.0.0.3:7946");
-  CHECK(fleet.datagram == 1024);
-  CHECK(fleet.period == std::chrono::milliseconds(500));
-  CHECK(fleet.suspicion == std::chrono::seconds(2));
-  CHECK(fleet.forget == std::chrono::hours(1));
+          .membership;
+  CHECK(membership.enabled);
+  CHECK(membership.name == "south");
+  CHECK(membership.seeds == std::vector<std::string>{"10.0.0.1:7946", "10.0.0.2:7946"});
+  CHECK(membership.listen == "10.0.0.3:7946");
+  CHECK(membership.datagram == 1024);
+  CHECK(membership.period == std::chrono::milliseconds(500));
+  CHECK(membership.suspicion == std::chrono::seconds(2));
+  CHECK(membership.forget == std::chrono::hours(1));
   CHECK_THAT(Fault("fleet {\n suspicion = 1s\n}"), Catch::Contains("fleet.suspicion is shorter than two of"));
   CHECK_THAT(Fault("fleet {\n seeds = {\"10.0.0.1:1\"}\n}"),
              Catch::Contains("fleet.seeds needs fleet.listen"));
--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -2,9 +2,9 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "ops/calls.h"
-#include "ops/figures.h"
+#include "ops/admin_calls.h"
 #include "ops/lifecycle.h"
+#include "ops/metrics.h"
 
 namespace postspread::ops {
 namespace {
@@ -14,24 +14,24 @@
 const Lifecycle::Clock::time_point kNow{std::chrono::hours(5)};
 
 TEST_CASE("one state of the process: what has come decides, in whichever order") {
-  Lifecycle life;
-  CHECK(life.state() == State::kStarting);
-  CHECK(life.Drain(kNow));  // before it is able: holds once it is
-  CHECK(life.Drain(kNow));
-  life.SetAble(true);
-  CHECK(life.state() == State::kDraining);
-  CHECK(life.Activate());
-  CHECK(life.Activate());
-  CHECK(life.serves());
-  life.SetAble(false);
-  CHECK_FALSE(life.serves());
-  CHECK(life.Drain(kNow));
-  life.Stop(kNow);  // in mid-drain, and final
-  CHECK_FALSE(life.Activate());
-  CHECK_FALSE(life.Drain(kNow));
-  CHECK(life.state() == State::kStopping);
-  CHECK(life.CommandsUntil(milliseconds(1'200)) == kNow + milliseconds(1'200));
-  CHECK(life.CommandsUntil(milliseconds(8'000)) == kNow + milliseconds(2'000));
+  Lifecycle lifecycle;
+  CHECK(lifecycle.state() == State::kStarting);
+  CHECK(lifecycle.Drain(kNow));  // before it is able: holds once it is
+  CHECK(lifecycle.Drain(kNow));
+  lifecycle.SetAble(true);
+  CHECK(lifecycle.state() == State::kDraining);
+  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.serves());
+  lifecycle.SetAble(false);
+  CHECK_FALSE(lifecycle.serves());
+  CHECK(lifecycle.Drain(kNow));
+  lifecycle.Stop(kNow);  // in mid-drain, and final
+  CHECK_FALSE(lifecycle.Activate());
+  CHECK_FALSE(lifecycle.Drain(kNow));
+  CHECK(lifecycle.state() == State::kStopping);
+  CHECK(lifecycle.CommandsUntil(milliseconds(1'200)) == kNow + milliseconds(1'200));
+  CHECK(lifecycle.CommandsUntil(milliseconds(8'000)) == kNow + milliseconds(2'000));
 }
 
 TEST_CASE("kept connections are closed spread over the time, after new clients have ceased to come") {
@@ -48,61 +48,61 @@
 
 TEST_CASE("late in a drain and at the end of a stop no request is taken on") {
   const milliseconds deadline(1'000);
-  Lifecycle life;
-  CHECK(life.TakesRequests(kNow, deadline));
-  CHECK(life.Drain(kNow));
-  CHECK(life.Drain(kNow + milliseconds(1'000)));  // the first call counts
-  CHECK(life.TakesRequests(kNow + kOperatorDrain.commands_until - milliseconds(1), deadline));
-  CHECK_FALSE(life.TakesRequests(kNow + kOperatorDrain.commands_until, deadline));
-  CHECK(life.Activate());
-  CHECK(life.TakesRequests(kNow + milliseconds(3'000), deadline));
-  life.Stop(kNow);
-  CHECK(life.TakesRequests(kNow + milliseconds(1'599), deadline));
-  CHECK_FALSE(life.TakesRequests(kNow + milliseconds(1'600), deadline));
+  Lifecycle lifecycle;
+  CHECK(lifecycle.TakesRequests(kNow, deadline));
+  CHECK(lifecycle.Drain(kNow));
+  CHECK(lifecycle.Drain(kNow + milliseconds(1'000)));  // the first call counts
+  CHECK(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until - milliseconds(1), deadline));
+  CHECK_FALSE(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until, deadline));
+  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.TakesRequests(kNow + milliseconds(3'000), deadline));
+  lifecycle.Stop(kNow);
+  CHECK(lifecycle.TakesRequests(kNow + milliseconds(1'599), deadline));
+  CHECK_FALSE(lifecycle.TakesRequests(kNow + milliseconds(1'600), deadline));
 }
 
-struct Scripted final : Desk {
+struct Scripted final : AdminHandler {
   bool serves = true, stopping = false;
   std::string done;
   bool Ready(std::string_view& state) override { return state = "state", serves; }
   std::string Metrics() override { return "figures"; }
-  std::string Fleet() override { return stopping ? "" : "{}"; }
+  std::string Membership() override { return stopping ? "" : "{}"; }
   bool Drain() override { return done += "drain ", !stopping; }
   bool Activate() override { return done += "activate ", !stopping; }
 };
 
 TEST_CASE("calls: paths, methods, and what can't be obeyed") {
-  Scripted desk;
+  Scripted handler;
   const auto status = [&](const char* method, const char* target) {
-    return Call(method, target, desk).status;
+    return Call(method, target, handler).status;
   };
   CHECK(status("GET", "/v1/readyz?verbose") == 200);
-  CHECK(Call("GET", "/v1/metrics", desk).body == "figures");
+  CHECK(Call("GET", "/v1/metrics", handler).body == "figures");
   CHECK(status("GET", "/v1/readyz/") == 404);
   CHECK(status("HEAD", "/v1/readyz") == 405);
-  CHECK(Call("GET", "/v1/gatekeeper/drain", desk).allow == "PUT");
+  CHECK(Call("GET", "/v1/gatekeeper/drain", handler).allow == "PUT");
   for (const int wanted : {200, 409}) {
-    desk.stopping = wanted == 409;
-    CHECK(status("GET", "/v1/fleet") == (desk.stopping ? 404 : 200));
+    handler.stopping = wanted == 409;
+    CHECK(status("GET", "/v1/fleet") == (handler.stopping ? 404 : 200));
     CHECK(status("PUT", "/v1/gatekeeper/drain") == wanted);
     CHECK(status("PUT", "/v1/gatekeeper/activate") == wanted);
   }
-  CHECK(desk.done == "drain activate drain activate ");
-  desk.serves = false;
+  CHECK(handler.done == "drain activate drain activate ");
+  handler.serves = false;
   CHECK(status("GET", "/v1/readyz") == 503);
-  CHECK(Call("GET", "/v1/readyz", desk).body == "state\n");
+  CHECK(Call("GET", "/v1/readyz", handler).body == "state\n");
 }
 
 TEST_CASE("figures: every name, and each class from when it is named") {
-  Figures figures;
-  ClassFigures& lookup = figures.Of("lookup");
-  for (int i = 0; i < 100; ++i) figures.Of("other" + std::to_string(i));
-  CHECK(&figures.Of("lookup") == &lookup);  // an entry's address never changes
+  Metrics metrics;
+  ClassMetrics& lookup = metrics.Of("lookup");
+  for (int i = 0; i < 100; ++i) metrics.Of("other" + std::to_string(i));
+  CHECK(&metrics.Of("lookup") == &lookup);  // an entry's address never changes
   lookup = {.completed = 123'456'789, .rejected = 5, .failed = 6};
-  figures.upstream_requests = 7;
-  figures.config_reloads = 8;
-  figures.config_reload_errors = 2;
-  const std::string text = "\n" + Render(figures, {.pending = 14, .members = 9, .members_unavailable = 3});
+  metrics.upstream_requests = 7;
+  metrics.config_reloads = 8;
+  metrics.config_reload_errors = 2;
+  const std::string text = "\n" + Render(metrics, {.pending = 14, .members = 9, .members_unavailable = 3});
   for (const char* line :
        {"completed{lane=\"lookup\"} 123456789", "completed{lane=\"other7\"} 0", "rejected{lane=\"lookup\"} 5",
         "failed{lane=\"lookup\"} 6", "upstream_requests 7", "config_reloads 8", "config_reload_errors 2",
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door, drain, new settings and upgrade, with the real program and real calls over loopback.
+// The admin server, drain, new settings and upgrade, with the real program and real calls over loopback.
 #include "partners/site.h"
 
 namespace postspread {
@@ -31,27 +31,27 @@
 TEST_CASE("figures are those that clients and next hops count") {
   Site site(1, {{"ops", true}, {"settings", {{"Limits", {{"MostTries", 1}}}}}});
   site.Start(1);
-  CHECK(site.Figure("svc_completed{lane=\"lookup\"}") == 0);
-  CHECK(site.Figure("svc_members") == 1);
+  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 0);
+  CHECK(site.Metric("svc_members") == 1);
   Site::Held held = site.Hold("a");
-  CHECK(site.Figure("svc_pending") == 1);
+  CHECK(site.Metric("svc_pending") == 1);
   held.Serve();
   held.client.Send(Read("b"));
   site.Grant();
-  held.hop.Command();
-  held.hop.Send("-BUSY\r\n");
+  held.upstream.Command();
+  held.upstream.Send("-BUSY\r\n");
   CHECK(held.client.Line() == "-BUSY\r\n");
   held.client.Send(Command({"API.READ", "x"}));  // not a request of any class
   held.client.Line();
-  CHECK(site.Figure("svc_completed{lane=\"lookup\"}") == 1);
-  CHECK(site.Figure("svc_rejected{lane=\"lookup\"}") == 1);
-  CHECK(site.Figure("svc_failed{lane=\"lookup\"}") == 0);
-  CHECK(site.Figure("svc_upstream_requests") == 2);
-  CHECK(site.Figure("svc_pending") == 0);
+  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);
+  CHECK(site.Metric("svc_rejected{lane=\"lookup\"}") == 1);
+  CHECK(site.Metric("svc_failed{lane=\"lookup\"}") == 0);
+  CHECK(site.Metric("svc_upstream_requests") == 2);
+  CHECK(site.Metric("svc_pending") == 0);
   site.Reload({{"settings", nullptr}});
   site.Logged("new configuration is wrong");
-  CHECK(site.Figure("svc_config_reloads") == 0);
-  CHECK(site.Figure("svc_config_reload_errors") == 1);
+  CHECK(site.Metric("svc_config_reloads") == 0);
+  CHECK(site.Metric("svc_config_reload_errors") == 1);
 }
 
 TEST_CASE("an attempt counts once its last byte has gone to the socket, not when it is buffered") {
@@ -67,8 +67,8 @@
   client.Send(Read("a"));
   calls.Command();
   calls.Send("$1\r\n1\r\n");
-  while (site.Figure("svc_pending") != 1) usleep(5'000);
-  CHECK(site.Figure("svc_upstream_requests") == 0);
+  while (site.Metric("svc_pending") != 1) usleep(5'000);
+  CHECK(site.Metric("svc_upstream_requests") == 0);
 }
 
 TEST_CASE("a drain: no at once, served on, kept connections closed between requests, and back") {
@@ -90,8 +90,8 @@
   CHECK_FALSE(busy.client.HasMore());  // an answer is owed
   cut.Send(command.substr(40));
   site.Grant();
-  CHECK(late.hop.Command().at(2) == "c");
-  late.hop.Send(kValue);
+  CHECK(late.upstream.Command().at(2) == "c");
+  late.upstream.Send(kValue);
   CHECK(cut.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(cut.Ended());
   busy.Serve();
@@ -128,25 +128,26 @@
   Site::Held old = site.Hold("old");
 
   site.Reload(settings({lookup, later}, 1));
-  while (site.Figure("svc_config_reloads") != 1) usleep(5'000);
-  CHECK(site.Figure("svc_completed{lane=\"later\"}") == 0);
+  while (site.Metric("svc_config_reloads") != 1) usleep(5'000);
+  CHECK(site.Metric("svc_completed{lane=\"later\"}") == 0);
   client.Send(write);
   site.Grant();
-  Peer second = site.hop(0).Accept();
+  Peer second = site.upstream(0).Accept();
   CHECK(second.Command().at(2) == "new");
 
   site.Reload(settings({later}, 1));
-  while (site.Figure("svc_config_reloads") != 2) usleep(5'000);
+  while (site.Metric("svc_config_reloads") != 2) usleep(5'000);
   Peer third = site.Client();
   third.Send(Read("gone"));
   CHECK(third.Line() == "-ERR unknown class\r\n");
   second.Send("-ERR failed\r\n");  // it may have run, and its class allows no repeat
   CHECK(client.Line() == "-ERR failed\r\n");
-  old.hop.Send("-ERR failed\r\n");  // one of two attempts, by the settings it came under: it goes out again
+  old.upstream.Send(
+      "-ERR failed\r\n");  // one of two attempts, by the settings it came under: it goes out again
   CHECK(second.Command().at(2) == "old");  // on the connection that is free
   second.Send(kValue);
   CHECK(old.client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  CHECK(site.Figure("svc_completed{lane=\"lookup\"}") == 1);  // a class that went is told of still
+  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);  // a class that went is told of still
 }
 
 TEST_CASE("an upgrade: two processes on one socket, each request answered once, nothing closed on") {
@@ -180,13 +181,13 @@
   fresh.Send(Read("b"));
   calls.Command();
   calls.Send("$1\r\n1\r\n");
-  Peer other = site.hop(0).Accept();
+  Peer other = site.upstream(0).Accept();
   CHECK(other.Command().at(2) == "b");
   other.Send(kValue);
   CHECK(fresh.Until("hi\r\n") == "$2\r\nhi\r\n");
   slow.Send(command.substr(50));  // begun before, ended after: still the first one's
   site.Grant();
-  Peer third = site.hop(0).Accept();
+  Peer third = site.upstream(0).Accept();
   CHECK(third.Command().at(2) == "s");
   third.Send(kValue);
   CHECK(slow.Until("hi\r\n") == "$2\r\nhi\r\n");
--- a/tests/partners/client.h
+++ b/tests/partners/client.h
@@ -1,4 +1,4 @@
-// Clients of gatekeepers on libevent: one request at a time on a connection, connections kept and opened
+// Clients of gateways on libevent: one request at a time on a connection, connections kept and opened
 // anew.
 #ifndef POSTSPREAD_TESTS_PARTNERS_CLIENT_H_
 #define POSTSPREAD_TESTS_PARTNERS_CLIENT_H_
@@ -19,7 +19,7 @@
  public:
   using Done = std::function<void(bool came, std::string answer)>;
   Client(event_base* base, int port) {
-    const auto address = config::Address::Parse(Place(port));
+    const auto address = config::Address::Parse(LoopbackAddress(port));
     event_ = net::Dial(
         base, *address, [](bufferevent*, void* self) { static_cast<Client*>(self)->Read(); }, nullptr,
         [](bufferevent*, short what, void* self) {
@@ -54,12 +54,12 @@
   bool broken_ = false;
 };
 
-// Connections to several gatekeepers, by rank.
+// Connections to several gateways, by rank.
 class Clients {
  public:
-  // `port`: where the gatekeeper of a rank listens.
-  Clients(event_base* base, int gatekeepers, std::function<int(int rank)> port)
-      : base_(base), port_(std::move(port)), pools_(static_cast<std::size_t>(gatekeepers)) {}
+  // `port`: where the gateway of a rank listens.
+  Clients(event_base* base, int gateways, std::function<int(int rank)> port)
+      : base_(base), port_(std::move(port)), pools_(static_cast<std::size_t>(gateways)) {}
   void Ask(int rank, const std::string& message, Client::Done done) {
     auto& pool = pools_[static_cast<std::size_t>(rank)];
     std::erase_if(pool, [](const auto& c) { return !c->usable() && !c->busy(); });
--- a/tests/partners/platform.h
+++ b/tests/partners/platform.h
@@ -1,5 +1,5 @@
 // Stand-ins of the platform on loopback: calendar nodes in pods that drop repeats, discovery, the shared
-// counter, and the way of datagrams between gatekeepers with loss and delay.
+// counter, and the way of datagrams between gateways with loss and delay.
 #ifndef POSTSPREAD_TESTS_PARTNERS_PLATFORM_H_
 #define POSTSPREAD_TESTS_PARTNERS_PLATFORM_H_
 
@@ -60,7 +60,7 @@
     for (int i = 0; i < size(); ++i) {
       const auto& server = servers_[static_cast<std::size_t>(i)];
       out.push_back({{"name", "s-" + std::to_string(i)},
-                     {"address", server->place()},
+                     {"address", server->address()},
                      {"zone", std::string("hall-") + static_cast<char>('a' + i / each)},
                      {"group", i / each},
                      {"status", server->alive() ? "Ready" : "Gone"}});
@@ -135,9 +135,9 @@
 
   void Answer(int node, Server::Connection& connection, milliseconds after, std::string value) {
     const std::uint64_t number = connection.number();
-    const int life = lives_[static_cast<std::size_t>(node)];
-    After(base_, after, [this, node, life, number, value = std::move(value)] {
-      if (lives_[static_cast<std::size_t>(node)] != life) return;  // it died meanwhile
+    const int incarnation = lives_[static_cast<std::size_t>(node)];
+    After(base_, after, [this, node, incarnation, number, value = std::move(value)] {
+      if (lives_[static_cast<std::size_t>(node)] != incarnation) return;  // it died meanwhile
       Server::Connection* to = servers_[static_cast<std::size_t>(node)]->Find(number);
       if (to == nullptr) return;
       std::string out = "*3\r\n";
@@ -158,7 +158,7 @@
 class Discovery {
  public:
   explicit Discovery(event_base* base) : server_(base, [this](Server::Connection& c) { Read(c); }) {}
-  std::string place() const { return server_.place(); }
+  std::string address() const { return server_.address(); }
   void Tell(nlohmann::json endpoints) {
     ++index_;
     list_ = std::move(endpoints);
@@ -196,7 +196,7 @@
 class Counter {
  public:
   explicit Counter(event_base* base) : server_(base, [this](Server::Connection& c) { Read(c); }) {}
-  std::string place() const { return server_.place(); }
+  std::string address() const { return server_.address(); }
 
  private:
   void Read(Server::Connection& connection) {
@@ -223,12 +223,11 @@
   std::unordered_map<std::string, std::pair<double, Clock::time_point>> names_;
 };
 
-// Between n gatekeepers each pair has addresses of its own, so that a datagram's sender is known by where it
+// Between n gateways each pair has addresses of its own, so that a datagram's sender is known by where it
 // comes from.
 class Datagrams {
  public:
-  Datagrams(event_base* base, int gatekeepers, std::uint64_t seed)
-      : base_(base), random_(seed), n_(gatekeepers) {
+  Datagrams(event_base* base, int gateways, std::uint64_t seed) : base_(base), random_(seed), n_(gateways) {
     for (int i = 0; i < n_; ++i) listen_.push_back(FreePort(SOCK_DGRAM));
     for (int i = 0; i < n_ * n_; ++i) sockets_.push_back(std::make_unique<Way>(*this, i / n_, i % n_));
   }
@@ -236,18 +235,18 @@
   milliseconds most_delay{20};
   std::function<bool(int from, int to)> cut = [](int, int) { return false; };
   std::uint64_t passed = 0, lost = 0, too_long = 0;
-  // Hands a gatekeeper bytes as though they came from that other one.
+  // Hands a gateway bytes as though they came from that other one.
   void Inject(int from, int to, std::string_view bytes) {
     const sockaddr_in target = Loopback(listen_[static_cast<std::size_t>(to)]);
     sendto(way(to, from).fd, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&target),
            sizeof target);
   }
 
-  std::string listen(int rank) const { return Place(listen_[static_cast<std::size_t>(rank)]); }
-  // The gatekeepers' addresses as the one of this rank knows them.
+  std::string listen(int rank) const { return LoopbackAddress(listen_[static_cast<std::size_t>(rank)]); }
+  // The gateways' addresses as the one of this rank knows them.
   nlohmann::json peers(int rank) const {
     nlohmann::json out = nlohmann::json::array();
-    for (int to = 0; to < n_; ++to) out.push_back(Place(way(rank, to).port));
+    for (int to = 0; to < n_; ++to) out.push_back(LoopbackAddress(way(rank, to).port));
     return out;
   }
 
--- a/tests/partners/process.h
+++ b/tests/partners/process.h
@@ -1,4 +1,4 @@
-// A gatekeeper as a process: started, killed, stopped and continued, and ended by SIGTERM.
+// A gateway as a process: started, killed, stopped and continued, and ended by SIGTERM.
 #ifndef POSTSPREAD_TESTS_PARTNERS_PROCESS_H_
 #define POSTSPREAD_TESTS_PARTNERS_PROCESS_H_
 
--- a/tests/partners/server.h
+++ b/tests/partners/server.h
@@ -28,7 +28,7 @@
   out.sin_port = htons(static_cast<std::uint16_t>(port));
   return out;
 }
-inline std::string Place(int port) { return "127.0.0.1:" + std::to_string(port); }
+inline std::string LoopbackAddress(int port) { return "127.0.0.1:" + std::to_string(port); }
 
 // Ports that no other process of these tests and benches is given while this one runs: what it starts and
 // ends and starts again would else find its port taken by theirs. A block is held by a name in the abstract
@@ -103,7 +103,7 @@
   Server(event_base* base, OnData on_data) : base_(base), on_data_(std::move(on_data)) { Listen(0); }
 
   int port() const { return port_; }
-  std::string place() const { return Place(port_); }
+  std::string address() const { return LoopbackAddress(port_); }
 
   // Dies as a process does: every connection is reset, new ones are refused.
   void Kill() {
--- a/tests/partners/site.h
+++ b/tests/partners/site.h
@@ -1,5 +1,5 @@
 // The real program as a process, among small scripted partners: each test plays discovery, the counter, the
-// next hops and a client by hand, and waits for events, never for time to pass.
+// upstreams and a client by hand, and waits for events, never for time to pass.
 #ifndef POSTSPREAD_TESTS_PARTNERS_SITE_H_
 #define POSTSPREAD_TESTS_PARTNERS_SITE_H_
 
@@ -32,10 +32,10 @@
 
 using nlohmann::json;
 
-constexpr int kPatienceMs =
+constexpr int kTimeoutMs =
     20'000;  // after which a wait counts as failed; nothing waits so long when all is well
 
-inline bool Readable(int fd, int wait_ms = kPatienceMs) {
+inline bool Readable(int fd, int wait_ms = kTimeoutMs) {
   pollfd p{fd, POLLIN, 0};
   return poll(&p, 1, wait_ms) == 1;
 }
@@ -176,7 +176,7 @@
   return out;
 }
 
-// A request as a client sends it, and an answer as a next hop gives it.
+// A request as a client sends it, and an answer as an upstream gives it.
 inline std::string Read(std::string_view id) {
   return Command({"API.READ", "0000000000000001", id, "c=lookup,t=team,d=60000,units=1,spread=2,first=0"});
 }
@@ -199,9 +199,9 @@
   // `ops` in `changes`, whatever it is: operators call at ops(). `operators`: the text of an operator file to
   // start with; null: none. `inherited`: the clients' listening
   // socket, which the process gets as descriptor 7.
-  explicit Site(int hops, json changes = json::object(), bool with_variables = false,
+  explicit Site(int upstreams, json changes = json::object(), bool with_variables = false,
                 const char* operators = nullptr, Port* inherited = nullptr)
-      : hops_(static_cast<std::size_t>(hops)), inherited_(inherited) {
+      : upstreams_(static_cast<std::size_t>(upstreams)), inherited_(inherited) {
     port_ = inherited != nullptr ? inherited->number() : FreeNumber();
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:" + std::to_string(port_)},
@@ -238,7 +238,7 @@
     for (std::string& variable : variables) environment.push_back(variable.data());
     for (char** e = environ; *e != nullptr; ++e) environment.push_back(*e);
     environment.push_back(nullptr);
-    char* arguments[] = {const_cast<char*>(GATEKEEPER), nullptr, nullptr, nullptr};
+    char* arguments[] = {const_cast<char*>(GATEWAY_PROGRAM), nullptr, nullptr, nullptr};
     if (!operator_path_.empty()) {
       arguments[1] = const_cast<char*>("--operator");
       arguments[2] = operator_path_.data();
@@ -249,7 +249,7 @@
                                      0600);
     if (inherited_ != nullptr) posix_spawn_file_actions_adddup2(&actions, inherited_->fd(), 7);
     pid_t pid = -1;
-    REQUIRE(posix_spawn(&pid, GATEKEEPER, &actions, nullptr, arguments, environment.data()) == 0);
+    REQUIRE(posix_spawn(&pid, GATEWAY_PROGRAM, &actions, nullptr, arguments, environment.data()) == 0);
     posix_spawn_file_actions_destroy(&actions);
     return pid;
   }
@@ -261,7 +261,7 @@
   }
   Site(const Site&) = delete;
 
-  // Plays the start up to the point where it serves; the first `count` next hops are listed, and `others`.
+  // Plays the start up to the point where it serves; the first `count` upstreams are listed, and `others`.
   void Start(int count, const json& others = json::array()) {
     watch_.emplace_back(discovery_.Accept());
     CHECK(watch().Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
@@ -274,7 +274,7 @@
   }
   void WaitUntilReady() {
     Peer front = Client();
-    for (int waited = 0; waited < kPatienceMs; waited += 5) {
+    for (int waited = 0; waited < kTimeoutMs; waited += 5) {
       front.Send(Command({"PING"}));
       if (front.Line() == "+PONG\r\n") return;
       usleep(5'000);
@@ -285,7 +285,8 @@
   json Entries(int first, int count, const char* status) {
     json out = json::array();
     for (int i = first; i < first + count; ++i) {
-      out.push_back({{"name", "s-" + std::to_string(i)}, {"address", hop(i).address()}, {"status", status}});
+      out.push_back(
+          {{"name", "s-" + std::to_string(i)}, {"address", upstream(i).address()}, {"status", status}});
     }
     return out;
   }
@@ -297,11 +298,11 @@
     const std::string body = list.dump();
     watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
-  // A request that a next hop has and its client waits for.
+  // A request that an upstream has and its client waits for.
   struct Held {
-    Peer client, hop;
+    Peer client, upstream;
     void Serve() {
-      hop.Send(kValue);
+      upstream.Send(kValue);
       CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
     }
   };
@@ -309,9 +310,9 @@
     Peer client = Client();
     client.Send(Read(id));
     Grant();
-    Peer hop = this->hop(0).Accept();
-    CHECK(hop.Command().at(2) == id);
-    return {std::move(client), std::move(hop)};
+    Peer upstream = this->upstream(0).Accept();
+    CHECK(upstream.Command().at(2) == id);
+    return {std::move(client), std::move(upstream)};
   }
   // What PING is answered with on a connection that is new, or on this one.
   std::string Ping() {
@@ -322,7 +323,7 @@
     client.Send(Command({"PING"}));
     return client.Line();
   }
-  // One call at the operators' door; the whole response.
+  // One call at the admin server; the whole response.
   std::string Call(const std::string& line) const { return Call(ops_, line); }
   static std::string Call(int port, const std::string& line) {
     Peer peer = Connect(port);
@@ -330,7 +331,7 @@
     return peer.Bytes(1 << 20);
   }
   // A figure's value, as the door tells it.
-  double Figure(const std::string& name) const {
+  double Metric(const std::string& name) const {
     const std::string text = Call("GET /v1/metrics");
     const std::size_t at = text.find("\n" + name + " ");
     if (at == std::string::npos) FAIL("no figure " + name + " in " + text);
@@ -384,7 +385,7 @@
   }
   // Waits until the log holds `line`.
   void Logged(const std::string& line) const {
-    for (int waited = 0; waited < kPatienceMs; waited += 10) {
+    for (int waited = 0; waited < kTimeoutMs; waited += 10) {
       std::ostringstream text;
       text << std::ifstream(log()).rdbuf();
       if (text.str().find(line) != std::string::npos) return;
@@ -414,17 +415,17 @@
   Peer& calls() { return calls_.back(); }
   Port& counter() { return counter_; }
   Port& discovery() { return discovery_; }
-  Port& hop(int i) { return hops_[static_cast<std::size_t>(i)]; }
-  // Which of two next hops was dialled.
+  Port& upstream(int i) { return upstreams_[static_cast<std::size_t>(i)]; }
+  // Which of two upstreams was dialled.
   int Dialled() {
-    pollfd p[] = {{hop(0).fd(), POLLIN, 0}, {hop(1).fd(), POLLIN, 0}};
-    REQUIRE(poll(p, 2, kPatienceMs) >= 1);
+    pollfd p[] = {{upstream(0).fd(), POLLIN, 0}, {upstream(1).fd(), POLLIN, 0}};
+    REQUIRE(poll(p, 2, kTimeoutMs) >= 1);
     return (p[0].revents & POLLIN) != 0 ? 0 : 1;
   }
 
  private:
   Port discovery_, counter_;
-  std::vector<Port> hops_;
+  std::vector<Port> upstreams_;
   std::vector<Peer> watch_, calls_;
   json config_;
   double total_ = 0;
--- a/tests/partners/slow_port.h
+++ b/tests/partners/slow_port.h
@@ -31,14 +31,14 @@
  private:
   template <typename Is>
   void Await(Is is, const std::string& otherwise) const {
-    char place[32];
-    std::snprintf(place, sizeof place, " 0100007F:%04X 02 ", static_cast<unsigned>(port_.number()));
-    for (int waited = 0; waited < kPatienceMs; waited += 5) {
+    char address[32];
+    std::snprintf(address, sizeof address, " 0100007F:%04X 02 ", static_cast<unsigned>(port_.number()));
+    for (int waited = 0; waited < kTimeoutMs; waited += 5) {
       std::ostringstream table;
       table << std::ifstream("/proc/net/tcp").rdbuf();
       const std::string text = table.str();
       int dials = 0;
-      for (std::size_t at = 0; (at = text.find(place, at)) != std::string::npos; ++at) ++dials;
+      for (std::size_t at = 0; (at = text.find(address, at)) != std::string::npos; ++at) ++dials;
       if (is(dials)) return;
       usleep(5'000);
     }
--- a/tests/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -40,29 +40,30 @@
 }
 
 // A request of this customer's.
-Envelope Lookup(const std::string& customer) {
+Request Lookup(const std::string& customer) {
   return {.class_name = "lookup",
           .plan = "team",
           .customer = customer,
-          .patience = milliseconds(2000),
+          .timeout = milliseconds(2000),
           .units = 1};
 }
 
 struct Bench {
   explicit Bench(bool has_counter = false) : planner(Site(has_counter), 1, seconds(1'000'000), now) {
-    RosterReport roster;
-    roster.next_hops = {{.name = "a", .zone = "z", .kind = "k"}, {.name = "b", .zone = "z", .kind = "k"}};
-    Put(planner.Report(std::move(roster), now));
+    EndpointListReport endpoint_list;
+    endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"},
+                               {.name = "b", .zone = "z", .kind = "k"}};
+    Put(planner.Report(std::move(endpoint_list), now));
   }
-  void Put(Steps steps) { last.assign(steps.begin(), steps.end()); }
-  EnvelopeNumber Pick(double units = 1) {
-    const Planner::Picked picked = planner.Pick({.class_name = "lookup",
-                                                 .plan = "team",
-                                                 .customer = "0000000000000001",
-                                                 .patience = milliseconds(2000),
-                                                 .units = units},
-                                                now);
-    Put(picked.steps);
+  void Put(Actions actions) { last.assign(actions.begin(), actions.end()); }
+  RequestId Pick(double units = 1) {
+    const Planner::PickResult picked = planner.Pick({.class_name = "lookup",
+                                                     .plan = "team",
+                                                     .customer = "0000000000000001",
+                                                     .timeout = milliseconds(2000),
+                                                     .units = units},
+                                                    now);
+    Put(picked.actions);
     return picked.number;
   }
   void Report(ReportValue report) { Put(planner.Report(std::move(report), now)); }
@@ -82,7 +83,7 @@
 
   Clock::time_point now{seconds(50)};
   Planner planner;
-  std::vector<Step> last;
+  std::vector<Action> last;
 };
 
 // Five requests a second of one firm, the counter crowded but for totals where `total` is above 0; returns
@@ -90,26 +91,26 @@
 int LetIn(Planner& planner, Clock::time_point now, int count, double total) {
   int sent = 0;
   for (int i = 0; i < count; ++i, now += milliseconds(200)) {
-    Planner::Picked picked = planner.Pick({.class_name = "lookup",
-                                           .plan = "team",
-                                           .customer = "f",
-                                           .patience = seconds(2),
-                                           .units = 1,
-                                           .spread = 100},
-                                          now);
-    std::vector<Step> steps(picked.steps.begin(), picked.steps.end());
-    for (std::size_t n = 0; n < steps.size(); ++n) {
-      Steps more;
-      if (std::holds_alternative<Deliver>(steps[n])) {
+    Planner::PickResult picked = planner.Pick({.class_name = "lookup",
+                                               .plan = "team",
+                                               .customer = "f",
+                                               .timeout = seconds(2),
+                                               .units = 1,
+                                               .spread = 100},
+                                              now);
+    std::vector<Action> actions(picked.actions.begin(), picked.actions.end());
+    for (std::size_t n = 0; n < actions.size(); ++n) {
+      Actions more;
+      if (std::holds_alternative<StartAttempt>(actions[n])) {
         ++sent;
-        more = planner.Report(AttemptReport{.envelope = picked.number, .next_hop = "a"}, now);
-      } else if (const auto* ask = std::get_if<AskCounter>(&steps[n])) {
+        more = planner.Report(AttemptReport{.request = picked.number, .upstream = "a"}, now);
+      } else if (const auto* ask = std::get_if<CallCounter>(&actions[n])) {
         const bool added = total > 0 && i > 0;
         more = planner.Report(
             CounterReport{ask->name, added ? CounterResult::kAdded : CounterResult::kTurnedAway, total}, now);
       }
-      const std::vector<Step> copied(more.begin(), more.end());
-      steps.insert(steps.end(), copied.begin(), copied.end());
+      const std::vector<Action> copied(more.begin(), more.end());
+      actions.insert(actions.end(), copied.begin(), copied.end());
     }
   }
   return sent;
@@ -121,20 +122,20 @@
   settings.can_tell = true;
   settings.mail_per_s = 40;
   Clock::time_point now{seconds(50)};
-  RosterReport roster;
-  roster.next_hops = {{.name = "a", .zone = "z", .kind = "k"}};
-  const Planner::Extras extras{.keys = {}, .demand = {.tell = true}, .has_peers = true};
+  EndpointListReport endpoint_list;
+  endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"}};
+  const Planner::Extras extras{.keys = {}, .usage = {.broadcast = true}, .has_peers = true};
   Planner teller(settings, 1, seconds(1'000'000), now, extras),
       told(settings, 2, seconds(1'000'000), now, extras),
       untold(settings, 2, seconds(1'000'000), now, extras);
-  for (Planner* each : {&teller, &told, &untold}) each->Report(roster, now);
+  for (Planner* each : {&teller, &told, &untold}) each->Report(endpoint_list, now);
   LetIn(teller, now, 10, 200);  // some twenty times its rate
   now += seconds(2);
   std::string bytes;
   while (bytes.empty() && teller.NextTick() && now < Clock::time_point(seconds(60))) {
     now = std::max(now, *teller.NextTick());
-    for (const Step& step : teller.Tick(now)) {
-      if (const auto* tell = std::get_if<Tell>(&step)) bytes = tell->bytes;
+    for (const Action& step : teller.Tick(now)) {
+      if (const auto* tell = std::get_if<SendDatagram>(&step)) bytes = tell->bytes;
     }
   }
   REQUIRE(bytes.size() == 9);
@@ -153,23 +154,23 @@
   Clock::time_point now{seconds(50)};
   const auto start = [&](int rank, seconds wall) {
     Planner::Extras extras;
-    extras.keys.enabled = extras.fleet.enabled = extras.has_peers = true;
+    extras.keys.enabled = extras.membership.enabled = extras.has_peers = true;
     extras.name = "gk-" + std::to_string(rank);
-    extras.place = static_cast<membership::Place>(rank);
+    extras.peer = static_cast<membership::PeerId>(rank);
     extras.seeds = {0, 1};
     Settings own = settings;
     own.rank = rank;
     return std::make_unique<Planner>(own, 1, wall, now, extras);
   };
   std::unique_ptr<Planner> planners[] = {start(0, seconds(1'000'000)), start(1, seconds(1'000'000))};
-  RosterReport roster;
-  roster.next_hops = {{.name = "a", .zone = "z", .kind = "k"}};
-  planners[0]->Report(roster, now);
+  EndpointListReport endpoint_list;
+  endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"}};
+  planners[0]->Report(endpoint_list, now);
   // What of the view one has to say goes to the other, and the other way round.
-  const std::function<void(int, Steps)> pass = [&](int from, Steps steps) {
-    for (const Step& step : std::vector<Step>(steps.begin(), steps.end())) {
-      const auto* tell = std::get_if<TellFleet>(&step);
-      if (tell == nullptr || tell->place == static_cast<std::uint64_t>(from)) continue;
+  const std::function<void(int, Actions)> pass = [&](int from, Actions actions) {
+    for (const Action& step : std::vector<Action>(actions.begin(), actions.end())) {
+      const auto* tell = std::get_if<SendMembershipDatagram>(&step);
+      if (tell == nullptr || tell->peer == static_cast<std::uint64_t>(from)) continue;
       pass(1 - from, planners[1 - from]->Report(PeerReport{from, tell->bytes}, now));
     }
   };
@@ -180,17 +181,17 @@
   };
   // Whether work under a new key begins at once, with nobody to ask.
   const auto begins_alone = [&](const char* key) {
-    const Planner::Picked picked = planners[0]->Pick({.class_name = "lookup",
-                                                      .plan = "team",
-                                                      .customer = "0000000000000001",
-                                                      .patience = seconds(2),
-                                                      .units = 1,
-                                                      .spread = 2,
-                                                      .is_write = true,
-                                                      .key = key},
-                                                     now);
-    return std::any_of(picked.steps.begin(), picked.steps.end(),
-                       [](const Step& s) { return std::holds_alternative<Deliver>(s); });
+    const Planner::PickResult picked = planners[0]->Pick({.class_name = "lookup",
+                                                          .plan = "team",
+                                                          .customer = "0000000000000001",
+                                                          .timeout = seconds(2),
+                                                          .units = 1,
+                                                          .spread = 2,
+                                                          .is_write = true,
+                                                          .key = key},
+                                                         now);
+    return std::any_of(picked.actions.begin(), picked.actions.end(),
+                       [](const Action& s) { return std::holds_alternative<StartAttempt>(s); });
   };
   run();
   CHECK_FALSE(begins_alone("k1"));
@@ -206,25 +207,25 @@
   Settings settings = Site(false);
   settings.group_size = 100;
   Planner::Extras extras;
-  extras.concert.subsets = true;
+  extras.subsetting.subsets = true;
   Clock::time_point now{seconds(50)};
   Planner planner(settings, 1, seconds(1'000'000), now, extras);
-  RosterReport roster;
+  EndpointListReport endpoint_list;
   for (int i = 0; i < 60; ++i)
-    roster.next_hops.push_back({.name = "s-" + std::to_string(i), .zone = "z", .kind = "k"});
-  planner.Report(roster, now);
+    endpoint_list.upstreams.push_back({.name = "s-" + std::to_string(i), .zone = "z", .kind = "k"});
+  planner.Report(endpoint_list, now);
   const auto used = [&] {  // by requests that are all under way at once
     std::set<std::string> out;
     std::vector<AttemptReport> ended;
     for (int i = 0; i < 60; ++i) {
       const std::string customer = std::to_string(i);
-      const Planner::Picked picked = planner.Pick(Lookup(customer), now);
-      for (const Step& step : picked.steps) {
-        const auto* deliver = std::get_if<Deliver>(&step);
+      const Planner::PickResult picked = planner.Pick(Lookup(customer), now);
+      for (const Action& step : picked.actions) {
+        const auto* deliver = std::get_if<StartAttempt>(&step);
         if (deliver == nullptr) continue;
-        out.insert(deliver->next_hop);
+        out.insert(deliver->upstream);
         ended.push_back(
-            {.envelope = picked.number, .next_hop = deliver->next_hop, .elapsed = milliseconds(5)});
+            {.request = picked.number, .upstream = deliver->upstream, .elapsed = milliseconds(5)});
       }
     }
     now += milliseconds(5);
@@ -236,9 +237,9 @@
   CHECK(before.size() >= 4);
   CHECK(before.size() <= 8);
   // All of these drain, by a list of changes: others are used from the next request on.
-  RosterReport changes{.scope = RosterScope::kChanges, .index = 1, .next_hops = {}};
+  EndpointListReport changes{.scope = EndpointUpdateKind::kChanges, .index = 1, .upstreams = {}};
   for (const std::string& name : before) {
-    changes.next_hops.push_back({.name = name, .zone = "z", .kind = "k", .state = HopState::kDraining});
+    changes.upstreams.push_back({.name = name, .zone = "z", .kind = "k", .state = UpstreamState::kDraining});
   }
   planner.Report(changes, now);
   const std::set<std::string> after = used();
@@ -248,19 +249,19 @@
 
 TEST_CASE("an envelope is delivered, and a failed attempt goes to another next hop") {
   Bench bench;
-  const EnvelopeNumber number = bench.Pick();
-  const auto first = bench.Only<Deliver>();
+  const RequestId number = bench.Pick();
+  const auto first = bench.Only<StartAttempt>();
   REQUIRE(first);
-  CHECK(first->envelope == number);
+  CHECK(first->request == number);
   CHECK(first->attempt == 0);
   CHECK(first->timeout == milliseconds(1990));
   bench.Report(
-      AttemptReport{number, 0, first->next_hop, AttemptResult::kCouldNotConnect, microseconds(9), {}});
-  const auto second = bench.Only<Deliver>();
+      AttemptReport{number, 0, first->upstream, AttemptResult::kCouldNotConnect, microseconds(9), {}});
+  const auto second = bench.Only<StartAttempt>();
   REQUIRE(second);
   CHECK(second->attempt == 1);
-  CHECK(second->next_hop != first->next_hop);
-  bench.Report(AttemptReport{number, 1, second->next_hop, AttemptResult::kServed, microseconds(9), {}});
+  CHECK(second->upstream != first->upstream);
+  bench.Report(AttemptReport{number, 1, second->upstream, AttemptResult::kServed, microseconds(9), {}});
   CHECK(bench.last.empty());
   CHECK(bench.Pick() != number);
 }
@@ -268,19 +269,19 @@
 TEST_CASE("the counter is asked once, and its answer opens the way") {
   Bench bench(/*has_counter=*/true);
   bench.Pick(2);
-  const auto ask = bench.Only<AskCounter>();
+  const auto ask = bench.Only<CallCounter>();
   REQUIRE(ask);
   CHECK(ask->amount == 2);
   CHECK(ask->name.find("0000000000000001") == 0);
   bench.Report(CounterReport{ask->name, CounterResult::kAdded, 2, microseconds(900)});
-  CHECK(bench.Only<Deliver>());
+  CHECK(bench.Only<StartAttempt>());
 }
 
 TEST_CASE("a full quota defers at once, and says when to come back") {
   Bench bench(/*has_counter=*/true);
   bench.Pick(4);
-  bench.Report(CounterReport{bench.Only<AskCounter>()->name, CounterResult::kAdded, 60, microseconds(900)});
-  const auto defer = bench.Only<Defer>();
+  bench.Report(CounterReport{bench.Only<CallCounter>()->name, CounterResult::kAdded, 60, microseconds(900)});
+  const auto defer = bench.Only<RejectWithRetryAfter>();
   REQUIRE(defer);
   CHECK(defer->retry_after > microseconds(0));
 }
@@ -288,13 +289,13 @@
 TEST_CASE("an envelope without an answer ends before its sender gives up") {
   Bench bench;
   const auto begun = bench.now;
-  const EnvelopeNumber number = bench.Pick();
+  const RequestId number = bench.Pick();
   bool ended = false;
   while (!ended && bench.planner.NextTick() && *bench.planner.NextTick() <= begun + seconds(3)) {
     bench.TickUntil(begun + seconds(3));
-    for (const Step& step : bench.last) {
-      const auto* defer = std::get_if<Defer>(&step);
-      ended |= defer != nullptr && defer->envelope == number;
+    for (const Action& step : bench.last) {
+      const auto* defer = std::get_if<RejectWithRetryAfter>(&step);
+      ended |= defer != nullptr && defer->request == number;
     }
   }
   CHECK(ended);
@@ -303,11 +304,11 @@
 
 TEST_CASE("a sender that has gone ends its attempts") {
   Bench bench;
-  const EnvelopeNumber number = bench.Pick();
-  bench.Report(ClientGone{number});
-  const auto abandon = bench.Only<Abandon>();
+  const RequestId number = bench.Pick();
+  bench.Report(ClientDisconnected{number});
+  const auto abandon = bench.Only<CancelAttempt>();
   REQUIRE(abandon);
-  CHECK(abandon->envelope == number);
+  CHECK(abandon->request == number);
   bench.Report(AttemptReport{number, 0, "a", AttemptResult::kAbandoned, microseconds(9), {}});
   CHECK(bench.last.empty());
 }
@@ -334,19 +335,19 @@
     CHECK_FALSE(bench.planner.Reconfigure(next));
   }
   CHECK(bench.planner.places() == 2);
-  const Planner::Picked picked = bench.planner.Pick({.class_name = "class49",
-                                                     .plan = "team",
-                                                     .customer = "0000000000000002",
-                                                     .patience = milliseconds(2000)},
-                                                    bench.now);
-  CHECK(std::holds_alternative<Deliver>(picked.steps[0]));
+  const Planner::PickResult picked = bench.planner.Pick({.class_name = "class49",
+                                                         .plan = "team",
+                                                         .customer = "0000000000000002",
+                                                         .timeout = milliseconds(2000)},
+                                                        bench.now);
+  CHECK(std::holds_alternative<StartAttempt>(picked.actions[0]));
   next.plans[0].name = "crew";
   CHECK(bench.planner.Reconfigure(next));
   bench.Pick();
-  CHECK(std::holds_alternative<Deliver>(bench.last.at(0)));
+  CHECK(std::holds_alternative<StartAttempt>(bench.last.at(0)));
 }
 
-// How many of 100 requests at once go to next hop `b`, whose restart has just been told `off` by the wall
+// How many of 100 requests at once go to upstream `b`, whose restart has just been told `off` by the wall
 // clock.
 int SentToRestarted(std::chrono::microseconds off) {
   Settings settings = Site(false);
@@ -357,20 +358,21 @@
   Clock::time_point now{seconds(50)};
   const seconds wall(1'000'000);
   Planner planner(settings, 1, wall, now);
-  RosterReport roster{.scope = RosterScope::kFull, .index = 1, .next_hops = {}};
-  roster.next_hops = {{.name = "a", .zone = "z", .kind = "k"}, {.name = "b", .zone = "z", .kind = "k"}};
-  planner.Report(roster, now);
+  EndpointListReport endpoint_list{.scope = EndpointUpdateKind::kFull, .index = 1, .upstreams = {}};
+  endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"},
+                             {.name = "b", .zone = "z", .kind = "k"}};
+  planner.Report(endpoint_list, now);
   now += seconds(10);
-  roster.index = 2;
-  roster.next_hops[1].started = std::chrono::duration_cast<milliseconds>(wall + seconds(9) + off);
-  planner.Report(roster, now);
+  endpoint_list.index = 2;
+  endpoint_list.upstreams[1].started = std::chrono::duration_cast<milliseconds>(wall + seconds(9) + off);
+  planner.Report(endpoint_list, now);
   int out = 0;
   for (int i = 0; i < 100; ++i) {
     const std::string customer = std::to_string(i);
-    const Planner::Picked picked = planner.Pick(Lookup(customer), now);
-    for (const Step& step : picked.steps) {
-      const auto* deliver = std::get_if<Deliver>(&step);
-      out += deliver != nullptr && deliver->next_hop == "b";
+    const Planner::PickResult picked = planner.Pick(Lookup(customer), now);
+    for (const Action& step : picked.actions) {
+      const auto* deliver = std::get_if<StartAttempt>(&step);
+      out += deliver != nullptr && deliver->upstream == "b";
     }
   }
   return out;
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -1,4 +1,4 @@
-// Starts of next hops, told as wall time, while the wall clock here or there is stepped.
+// Starts of upstreams, told as wall time, while the wall clock here or there is stepped.
 #include "planner/start_times.h"
 
 #include <catch2/catch.hpp>
@@ -14,14 +14,15 @@
 
 constexpr seconds kNow{1'000'000};
 
-RosterReport List(RosterScope scope, milliseconds started, HopState state = HopState::kReady) {
-  const NextHop hop{.name = "s-1", .zone = "z", .kind = "k", .state = state, .started = started};
-  return {.scope = scope, .index = 1, .next_hops = {hop}};
+EndpointListReport List(EndpointUpdateKind scope, milliseconds started,
+                        UpstreamState state = UpstreamState::kReady) {
+  const Upstream upstream{.name = "s-1", .zone = "z", .kind = "k", .state = state, .started = started};
+  return {.scope = scope, .index = 1, .upstreams = {upstream}};
 }
-microseconds Told(StartTimes& starts, RosterScope scope, milliseconds started, microseconds now) {
-  RosterReport report = List(scope, started);
+microseconds Told(StartTimes& starts, EndpointUpdateKind scope, milliseconds started, microseconds now) {
+  EndpointListReport report = List(scope, started);
   starts.Apply(report, now);
-  return report.next_hops.front().started;
+  return report.upstreams.front().started;
 }
 
 TEST_CASE("a start that a list tells is no older than the list before it, and no younger than itself") {
@@ -30,41 +31,42 @@
     for (const microseconds off : {step, -step}) {
       StartTimes starts;
       const auto before = kNow + seconds(10), after = kNow + seconds(12), started = kNow + seconds(11);
-      Told(starts, RosterScope::kFull, milliseconds(0), before);
+      Told(starts, EndpointUpdateKind::kFull, milliseconds(0), before);
       const milliseconds told = std::chrono::duration_cast<milliseconds>(started + off);
-      const microseconds estimate = Told(starts, RosterScope::kChanges, told, after);
+      const microseconds estimate = Told(starts, EndpointUpdateKind::kChanges, told, after);
       INFO("off by " << off.count());
       CHECK(estimate >= before);
       CHECK(estimate <= after);
       if (off == microseconds(0)) CHECK(estimate == started);
       // Told again it is the same start, and no restart.
-      CHECK(Told(starts, RosterScope::kFull, told, after + minutes(1)) == estimate);
+      CHECK(Told(starts, EndpointUpdateKind::kFull, told, after + minutes(1)) == estimate);
     }
   }
 }
 
 TEST_CASE("the first list is believed, but for starts in the future") {
   StartTimes starts;
-  CHECK(Told(starts, RosterScope::kRemembered, milliseconds(0), kNow) == microseconds(0));
-  CHECK(Told(starts, RosterScope::kFull, kNow - seconds(30), kNow) == kNow - seconds(30));
+  CHECK(Told(starts, EndpointUpdateKind::kRemembered, milliseconds(0), kNow) == microseconds(0));
+  CHECK(Told(starts, EndpointUpdateKind::kFull, kNow - seconds(30), kNow) == kNow - seconds(30));
   StartTimes others;
-  CHECK(Told(others, RosterScope::kFull, kNow + hours(1), kNow) == kNow);
+  CHECK(Told(others, EndpointUpdateKind::kFull, kNow + hours(1), kNow) == kNow);
 }
 
 TEST_CASE("a next hop that is gone and listed again with the same start has not started again") {
   StartTimes starts;
-  const microseconds first = Told(starts, RosterScope::kFull, kNow - seconds(30), kNow);
-  RosterReport gone = List(RosterScope::kChanges, kNow - seconds(30), HopState::kGone);
+  const microseconds first = Told(starts, EndpointUpdateKind::kFull, kNow - seconds(30), kNow);
+  EndpointListReport gone = List(EndpointUpdateKind::kChanges, kNow - seconds(30), UpstreamState::kGone);
   starts.Apply(gone, kNow + seconds(1));
-  CHECK(Told(starts, RosterScope::kChanges, kNow - seconds(30), kNow + seconds(60)) == first);
+  CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - seconds(30), kNow + seconds(60)) == first);
   // And with another start it has, even where that looks older.
-  CHECK(Told(starts, RosterScope::kChanges, kNow - hours(1), kNow + seconds(90)) == kNow + seconds(90));
+  CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - hours(1), kNow + seconds(90)) ==
+        kNow + seconds(90));
 }
 
 TEST_CASE("a list that comes late tells a start from before the last one") {
   StartTimes starts;
-  Told(starts, RosterScope::kFull, milliseconds(0), kNow);
-  CHECK(Told(starts, RosterScope::kChanges, kNow - seconds(4), kNow + seconds(1)) == kNow);
+  Told(starts, EndpointUpdateKind::kFull, milliseconds(0), kNow);
+  CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - seconds(4), kNow + seconds(1)) == kNow);
 }
 
 }  // namespace
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,5 +1,5 @@
 // The real program as a process, among small scripted partners: each test plays discovery, the counter, the
-// next hops and a client by hand, and waits for events, never for time to pass.
+// upstreams and a client by hand, and waits for events, never for time to pass.
 #include "partners/site.h"
 
 namespace postspread {
@@ -13,8 +13,8 @@
   Peer client = site.Client();
   client.Send(Read("one"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  const auto command = hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  const auto command = upstream.Command();
   REQUIRE(command.size() == 4);
   CHECK(command[0] == "API.READ");
   CHECK(command[2] == "one");
@@ -24,32 +24,32 @@
   const int d = std::stoi(command[3].substr(before.size()));
   CHECK(d > 0);
   CHECK(d <= 60'000);
-  hop.Send(kValue);
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 
   SECTION("the connection to the next hop is used again") {
     client.Send(Read("two"));
     site.Grant();
-    CHECK(hop.Command().at(2) == "two");
-    hop.Send("-BUSY\r\n");  // never ran, and there is no other: refused
+    CHECK(upstream.Command().at(2) == "two");
+    upstream.Send("-BUSY\r\n");  // never ran, and there is no other: refused
     CHECK(client.Line() == "-BUSY\r\n");
-    CHECK_FALSE(site.hop(0).Asked());
+    CHECK_FALSE(site.upstream(0).Asked());
   }
   SECTION("a sender that goes away takes its attempt along") {
     client.Send(Read("two"));
     site.Grant();
-    hop.Command();
+    upstream.Command();
     client.Close();
-    CHECK(hop.Ended());
+    CHECK(upstream.Ended());
   }
   SECTION("SIGTERM: what was taken is answered, then it ends with 0") {
     client.Send(Read("two"));
     site.Grant();
-    hop.Command();
+    upstream.Command();
     site.Terminate();
     while (!site.Refuses()) usleep(10'000);  // serves on for a while, then listens no more
     client.Send(Read("three"));              // not read any more: left to be sent again elsewhere
-    hop.Send(kValue);
+    upstream.Send(kValue);
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
     CHECK(client.Ended());
     client.Close();
@@ -65,14 +65,14 @@
                   {"Limits", {{"MostTries", 1}}}}}});
   site.Start(1);
   Peer client = site.Client();
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   // The amount that the next request is counted with, which the hop then answers with `figures`.
   const auto ask = [&](std::string_view id, const std::string& answer) {
     client.Send(Read(id));
     const double amount = site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    hop->Command();
-    hop->Send(answer);
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    upstream->Command();
+    upstream->Send(answer);
     client.Line();
     if (answer[0] == '*') client.Line();
     return amount;
@@ -82,8 +82,8 @@
   CHECK(ask("two", value + "$6\r\ncost=x\r\n" + none) == (settles ? 4 : 1));  // and 3 more of the first
   CHECK(ask("three", value + "$7\r\ncost=99\r\n" + none) == 1);
   CHECK(ask("four", "-ERR failed used=120,cost=y util=0.5\r\n") == 1);
-  CHECK(site.Figure("svc_odd_use") == 2);
-  CHECK(site.Figure("svc_over_quota_answers") == (settles ? 1 : 0));
+  CHECK(site.Metric("svc_odd_use") == 2);
+  CHECK(site.Metric("svc_over_quota_answers") == (settles ? 1 : 0));
 }
 
 TEST_CASE(
@@ -108,7 +108,7 @@
             false, "demand { tell = true }");
   site.Start(1);
   site.Hold("one").Serve();
-  CHECK_FALSE(site.hop(0).Asked());
+  CHECK_FALSE(site.upstream(0).Asked());
   if (may) {
     Socket other(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     const sockaddr_in address = Loopback(number);
@@ -127,8 +127,8 @@
   client.Send(both.substr(50));
   site.Grant();
   site.Grant();
-  Peer first = site.hop(0).Accept();
-  Peer second = site.hop(0).Accept();
+  Peer first = site.upstream(0).Accept();
+  Peer second = site.upstream(0).Accept();
   const bool swapped = first.Command().at(2) == "two";
   second.Command();  // what comes before it was sent is no answer to it
   if (swapped) std::swap(first, second);
@@ -158,7 +158,7 @@
   CHECK(next.Line().find("-ERR Protocol error") == 0);
   CHECK(next.Ended());
   CHECK_FALSE(site.calls().HasMore());
-  CHECK_FALSE(site.hop(0).Asked());
+  CHECK_FALSE(site.upstream(0).Asked());
 }
 
 TEST_CASE("a next hop that refuses never ran: the request goes to the other") {
@@ -168,17 +168,17 @@
   client.Send(Read("one"));
   site.Grant();
   const int picked = site.Dialled();
-  Peer hop = site.hop(picked).Accept();
-  hop.Command();
-  site.hop(picked).Close();  // nothing listens there any more
-  hop.Send(kValue);
+  Peer upstream = site.upstream(picked).Accept();
+  upstream.Command();
+  site.upstream(picked).Close();  // nothing listens there any more
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  hop.Close();
+  upstream.Close();
   std::optional<Peer> other;
   for (int i = 0; i < 4; ++i) {  // whichever is chosen, the other serves
     client.Send(Read("more"));
     site.Grant();
-    if (!other) other.emplace(site.hop(1 - picked).Accept());
+    if (!other) other.emplace(site.upstream(1 - picked).Accept());
     other->Command();
     other->Send(kValue);
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
@@ -204,9 +204,9 @@
   entries.push_back({{"name", "s-9"}, {"address", full.address()}, {"status", "Terminating"}});
   const std::string body = Site::List(true, entries).dump();
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command().at(2) == "one");
-  hop.Send(kValue);
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command().at(2) == "one");
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
@@ -216,14 +216,14 @@
   Peer client = site.Client();
   client.Send(Read("one"));
   site.calls().Command();  // no answer: let in by the local slice
-  Peer hop = site.hop(0).Accept();
-  CHECK(hop.Command().at(2) == "one");
-  hop.Send(kValue);
+  Peer upstream = site.upstream(0).Accept();
+  CHECK(upstream.Command().at(2) == "one");
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   site.calls().Send("$1\r\n1\r\n");  // a late total is a total: the connection stays
   client.Send(Read("two"));
-  CHECK(hop.Command().at(2) == "two");
-  hop.Send(kValue);
+  CHECK(upstream.Command().at(2) == "two");
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   if (site.calls().HasMore()) CHECK(site.calls().Command().at(0) == "CNT.ADD");  // and not its end
 }
@@ -238,8 +238,8 @@
   client.Send(Read("two"));  // behind it: goes with the connection
   site.calls().Command();
   site.calls().Send(answer);
-  Peer first = site.hop(0).Accept();  // both are let in by the local slice
-  Peer second = site.hop(0).Accept();
+  Peer first = site.upstream(0).Accept();  // both are let in by the local slice
+  Peer second = site.upstream(0).Accept();
   first.Command();
   second.Command();
   first.Send(kValue);
@@ -262,11 +262,11 @@
   Peer client = site.Client();
   client.Send(Read("one"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
-  hop.Send(answer);
-  CHECK(hop.Ended());
-  Peer again = site.hop(0).Accept();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
+  upstream.Send(answer);
+  CHECK(upstream.Ended());
+  Peer again = site.upstream(0).Accept();
   CHECK(again.Command().at(2) == "one");
   again.Send(
       "*3\r\n$2\r\nhi\r\n-what\r\n$12\r\nutil=,=,9e99\r\n");  // unreadable figures cost themselves only
@@ -279,17 +279,17 @@
   Peer client = site.Client();
   client.Send(Read("one"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
-  hop.Send(kValue);
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   client.Send(Read("two"));
   site.calls().Command();
   site.Pause();  // so that the grant is seen before the surplus is read
   site.calls().Send("$1\r\n2\r\n");
-  hop.Send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
+  upstream.Send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
   site.Resume();
-  Peer fresh = site.hop(0).Accept();
+  Peer fresh = site.upstream(0).Accept();
   CHECK(fresh.Command().at(2) == "two");
   fresh.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
@@ -301,28 +301,28 @@
   Peer client = site.Client(), other = site.Client();
   client.Send(Read("one"));
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   other.Send(Read("one"));
   CHECK(other.Line() == "-ERR a request with this id is open\r\n");
-  hop.Send(kValue);
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   other.Send(Read("one"));
-  CHECK(hop.Command().at(2) == "one");
+  CHECK(upstream.Command().at(2) == "one");
 }
 
 TEST_CASE("where connections are full the longest unused goes, not the one that has just come") {
   Site site(1, {{"limits", {{"sockets", 32}}}});  // 8 of them for clients
   site.Start(1);
   std::vector<Peer> idle;
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   for (int i = 0; i < 8; ++i) {
     idle.push_back(site.Client());
     idle.back().Send(Read("one"));
     site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    hop->Command();
-    hop->Send(kValue);
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    upstream->Command();
+    upstream->Send(kValue);
     idle.back().Until("hi\r\n");
   }
   Peer first = site.Client(), second = site.Client();
@@ -339,14 +339,14 @@
   Site site(1, {{"limits", {{"sockets", 32}}}});  // 8 for clients, 4 of them may stay
   site.Start(1);
   std::vector<Peer> clients;
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   for (int i = 0; i < 6; ++i) {
     clients.push_back(site.Client());
     clients.back().Send(Read("one"));
     site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    hop->Command();
-    hop->Send(kValue);
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    upstream->Command();
+    upstream->Send(kValue);
     clients.back().Until("hi\r\n");
   }
   CHECK(clients[0].Ended());
@@ -359,14 +359,14 @@
   Site site(1, {{"limits", {{"sockets", sockets}}}});
   site.Start(1);
   std::vector<Peer> clients;
-  std::optional<Peer> hop;
+  std::optional<Peer> upstream;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(site.Client());
     clients.back().Send(Read("one"));
     site.Grant();
-    if (!hop) hop.emplace(site.hop(0).Accept());
-    hop->Command();
-    hop->Send(kValue);
+    if (!upstream) upstream.emplace(site.upstream(0).Accept());
+    upstream->Command();
+    upstream->Send(kValue);
     clients.back().Until("hi\r\n");
   }
   if (sockets == 32) {
@@ -385,12 +385,12 @@
   half.Send("*4\r\n$8\r\nAPI.");
   mixed.Send(Read("one") + "noise\r\n");  // the error stands behind an answer that does not come
   site.Grant();
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
   CHECK(mixed.Line() == "-ERR failed\r\n");
   CHECK(mixed.Line() == "-ERR Protocol error: expected an array of bulk strings\r\n");
   CHECK(mixed.Ended());
-  CHECK(hop.Ended());
+  CHECK(upstream.Ended());
   CHECK(half.Line() == "-ERR Protocol error: command not finished in time\r\n");
   CHECK(half.Ended());
   CHECK(silent.Ended());
@@ -420,26 +420,26 @@
   CHECK(site.watch().Ended());
   Peer calls = counter.Accept();
   site.calls().Send("$1\r\n1\r\n");  // the call under way still finds its answer
-  Peer hop = site.hop(0).Accept();
-  hop.Command();
-  hop.Send(kValue);
+  Peer upstream = site.upstream(0).Accept();
+  upstream.Command();
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(site.calls().Ended());
   client.Send(Read("two"));
   CHECK(calls.Command().at(0) == "CNT.ADD");
   calls.Send("$1\r\n2\r\n");
-  hop.Command();
+  upstream.Command();
 
   site.Reload({{"discovery", "nowhere"}, {"counter", site.counter().address()}});
   site.Logged("the old one stays");
-  hop.Send(kValue);
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   client.Send(Read("three"));
   calls.Command();
   CHECK_FALSE(site.counter().Asked());
   calls.Send("$1\r\n3\r\n");
-  hop.Command();
-  hop.Send(kValue);
+  upstream.Command();
+  upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   site.Terminate();
   client.Close();
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -15,7 +15,7 @@
 Vocabulary Words() {
   return {.classes = {{"lookup", true, false}, {"order", false, true}},
           .plans = {"team"},
-          .gatekeepers = 3,
+          .gateways = 3,
           .max_units = 4};
 }
 
@@ -34,7 +34,7 @@
 std::string Fault(const std::string& message) {
   Command command;
   REQUIRE(ParseCommand(message, command) == Progress::kWhole);
-  Request request;
+  DecodedRequest request;
   const char* error = DecodeRequest(command, Words(), request);
   return error == nullptr ? "" : error;
 }
@@ -123,9 +123,9 @@
     const Progress progress = ParseCommand(view, command);
     if (progress == Progress::kWhole) {
       REQUIRE(command.size <= view.size());
-      Request request;
+      DecodedRequest request;
       if (command.count > 0 && DecodeRequest(command, Words(), request) == nullptr) {
-        REQUIRE(request.envelope.units <= 4);
+        REQUIRE(request.request.units <= 4);
       }
     } else if (progress == Progress::kPartial) {
       REQUIRE(command.need > view.size());
@@ -141,17 +141,17 @@
   const std::string message = Read("c=lookup,t=team,d=480,units=2.5,spread=3,first=1,r=1,later=x");
   Command command;
   REQUIRE(ParseCommand(message, command) == Progress::kWhole);
-  Request request;
+  DecodedRequest request;
   REQUIRE(DecodeRequest(command, Words(), request) == nullptr);
-  CHECK(request.envelope.class_name == "lookup");
-  CHECK(request.envelope.plan == "team");
-  CHECK(request.envelope.customer == kCustomer);
-  CHECK(request.envelope.patience == milliseconds(480));
-  CHECK(request.envelope.units == 2.5);
-  CHECK(request.envelope.spread == 3);
-  CHECK(request.envelope.first == 1);
-  CHECK(request.envelope.is_retry);
-  CHECK_FALSE(request.envelope.is_write);
+  CHECK(request.request.class_name == "lookup");
+  CHECK(request.request.plan == "team");
+  CHECK(request.request.customer == kCustomer);
+  CHECK(request.request.timeout == milliseconds(480));
+  CHECK(request.request.units == 2.5);
+  CHECK(request.request.spread == 3);
+  CHECK(request.request.first == 1);
+  CHECK(request.request.is_retry);
+  CHECK_FALSE(request.request.is_write);
 }
 
 TEST_CASE("what is wrong with a request is said") {
@@ -189,12 +189,12 @@
     const std::string message = Message({"API.WRITE", kCustomer, "$9", extras, "$3\r\nd=1"});
     Command command;
     REQUIRE(ParseCommand(message, command) == Progress::kWhole);
-    Request request;
+    DecodedRequest request;
     REQUIRE(DecodeRequest(command, Words(), request) == nullptr);
-    const Letter letter(command.message(), request.extras, request.patience);
+    const EncodedRequest encoded(command.message(), request.extras, request.timeout);
     std::string out;
-    letter.RenderHead(milliseconds(371), out);
-    out += letter.tail();
+    encoded.RenderHead(milliseconds(371), out);
+    out += encoded.tail();
     std::string expected = extras;
     expected.replace(extras.rfind(extras.front() == 'd' ? "d=5" : "d=4800") + 2,
                      extras.front() == 'd' ? 1 : 4, "371");
--- a/tests/safety/rules_test.cpp
+++ b/tests/safety/rules_test.cpp
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a client that still takes answers, or still sends, is waited for before the socket is closed") {
-  const LingerLimits limits{.linger = milliseconds(1'000), .patience = milliseconds(10'000)};
+  const LingerLimits limits{.linger = milliseconds(1'000), .timeout = milliseconds(10'000)};
   const auto may = [&](std::size_t unacknowledged, int since_shutdown, int since_progress) {
     return MayClose({unacknowledged, milliseconds(since_shutdown), milliseconds(since_progress)}, limits);
   };
--- a/tests/simhost_test.sh
+++ b/tests/simulator/adapter_test.sh
@@ -9,7 +9,7 @@
 
 expect_error() {
   out=$(printf '%s\n' "$1" | "$host" 2>&1 >/dev/null) && { echo "no error for: $1"; exit 1; }
-  [ "$out" = "postspread_simhost: $2" ] || { echo "saw: $out"; exit 1; }
+  [ "$out" = "postspread_simulator_adapter: $2" ] || { echo "saw: $out"; exit 1; }
 }
 expect_error '{"event_type":' 'line 1: not valid JSON'
 expect_error '{"event_type":"EofBatch"}' 'line 1: a line outside a batch'
--- a/tests/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -1,12 +1,12 @@
 // The codec both ways, and what it says of malformed lines.
-#include "wire.h"
+#include "simulator/wire.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 #include <variant>
 
-namespace postspread::wire {
+namespace postspread::simulator {
 namespace {
 
 template <typename T>
@@ -55,15 +55,16 @@
 
 TEST(Wire, ResolvesListsInOrder) {
   Decoder decoder;
-  const std::string roster = R"({"event_type":"PeersKnown","I":0,"Mode":"Complete","Index":1,"Buffer":2})";
+  const std::string endpoint_list =
+      R"({"event_type":"PeersKnown","I":0,"Mode":"Complete","Index":1,"Buffer":2})";
   decoder.Decode(R"({"event_type":"Inventory","Buffer":2,"Rows":[{"Backend":"old"}]})");
-  const auto first = std::get<InstanceEvent>(decoder.Decode(roster));
+  const auto first = std::get<InstanceEvent>(decoder.Decode(endpoint_list));
   decoder.Decode(
       R"({"event_type":"Inventory","Buffer":2,"Rows":[{"Backend":"new","Availability":"terminating"}]})");
-  const auto second = std::get<InstanceEvent>(decoder.Decode(roster));
-  EXPECT_EQ(std::get<RosterEvent>(first.event).servers->at(0).id, "old");
-  EXPECT_EQ(std::get<RosterEvent>(second.event).servers->at(0).id, "new");
-  EXPECT_EQ(std::get<RosterEvent>(second.event).servers->at(0).state, ServerState::kDraining);
+  const auto second = std::get<InstanceEvent>(decoder.Decode(endpoint_list));
+  EXPECT_EQ(std::get<EndpointListEvent>(first.event).servers->at(0).id, "old");
+  EXPECT_EQ(std::get<EndpointListEvent>(second.event).servers->at(0).id, "new");
+  EXPECT_EQ(std::get<EndpointListEvent>(second.event).servers->at(0).state, ServerState::kDraining);
 }
 
 TEST(Wire, ReadsCounterReplies) {
@@ -85,7 +86,7 @@
   EXPECT_EQ(start.settings.classes.at(0).scope, Scope::kZone);
   EXPECT_DOUBLE_EQ(start.settings.plans.at(0).ceiling_burst, 16);
   EXPECT_TRUE(start.settings.has_counter);
-  EXPECT_EQ(start.settings.roster_mode, RosterMode::kSubscribe);
+  EXPECT_EQ(start.settings.discovery_mode, DiscoveryMode::kSubscribe);
   EXPECT_EQ(start.settings.drain_grace, Duration(7));
 }
 
@@ -117,4 +118,4 @@
 }
 
 }  // namespace
-}  // namespace postspread::wire
+}  // namespace postspread::simulator
--- a/tests/concert/subset_test.cpp
+++ b/tests/subsetting/subset_test.cpp
@@ -1,6 +1,6 @@
-// Subsets of many gatekeepers together: load and connections by node, places changed, zones lost, views that
+// Subsets of many gateways together: load and connections by node, places changed, zones lost, views that
 // differ.
-#include "concert/subset.h"
+#include "subsetting/subset.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 #include <random>
 #include <set>
 
-namespace postspread::concert {
+namespace postspread::subsetting {
 namespace {
 
 const Limits kLimits{true, 12, 3};
@@ -30,7 +30,7 @@
 }
 
 struct Sum {
-  std::vector<double> load, connections;  // by node; the load in gatekeepers' worth, all equal
+  std::vector<double> load, connections;  // by node; the load in gateways' worth, all equal
   double MaxOverMean(const std::vector<double>& of) const {
     const double mean = std::accumulate(of.begin(), of.end(), 0.0) / static_cast<double>(of.size());
     return *std::max_element(of.begin(), of.end()) / mean;
@@ -42,18 +42,19 @@
   }
 };
 
-// Each gatekeeper goes by its own list of members.
+// Each gateway goes by its own list of members.
 Sum Add(const Limits& limits, const std::vector<std::vector<std::string>>& views,
         const std::vector<std::string>& members, const std::vector<Node>& nodes,
         const std::string& zone = "zone-0") {
   Sum out{std::vector<double>(nodes.size(), 0), std::vector<double>(nodes.size(), 0)};
   for (std::size_t i = 0; i < members.size(); ++i) {
-    const std::vector<Place> places = Subset(limits, SeatOf(members[i], views[i]), zone, false, nodes);
+    const std::vector<Assignment> assignments =
+        Subset(limits, RingPositionOf(members[i], views[i]), zone, false, nodes);
     double all = 0;
-    for (const Place& place : places) all += place.share * nodes[place.node].weight;
-    for (const Place& place : places) {
-      out.load[place.node] += place.share * nodes[place.node].weight / all;
-      out.connections[place.node] += 1;
+    for (const Assignment& assignment : assignments) all += assignment.share * nodes[assignment.node].weight;
+    for (const Assignment& assignment : assignments) {
+      out.load[assignment.node] += assignment.share * nodes[assignment.node].weight / all;
+      out.connections[assignment.node] += 1;
     }
   }
   return out;
@@ -63,18 +64,18 @@
 }
 
 TEST_CASE("with equal views every node gets its fair share, and connections within one of the mean") {
-  for (const int gatekeepers : {3, 16, 100, 300}) {
+  for (const int gateways : {3, 16, 100, 300}) {
     for (const int count : {9, 30, 60, 200}) {
       const std::vector<Node> nodes = Nodes(count);
-      const Sum sum = Add(kLimits, Members(gatekeepers), nodes);
-      INFO(gatekeepers << " gatekeepers, " << count << " nodes");
+      const Sum sum = Add(kLimits, Members(gateways), nodes);
+      INFO(gateways << " gatekeepers, " << count << " nodes");
       CHECK(sum.MaxOverMean(sum.load) <= 1.05);
       CHECK(sum.Jain(sum.load) >= 0.999);
       const double mean =
           std::accumulate(sum.connections.begin(), sum.connections.end(), 0.0) / static_cast<double>(count);
       for (const double c : sum.connections) CHECK(std::abs(c - mean) <= 1.0 + 1e-9);
       // A part of the nodes it is, where there are many.
-      if (count >= 60) CHECK(mean <= 0.5 * gatekeepers);
+      if (count >= 60) CHECK(mean <= 0.5 * gateways);
     }
   }
   // By weight: a node that is worth two gets twice as much.
@@ -85,50 +86,55 @@
   for (std::size_t i = 0; i < 60; ++i) CHECK(sum.load[i] == Approx(unit * nodes[i].weight).epsilon(0.05));
 }
 
-std::size_t Changed(const std::vector<Place>& before, const std::vector<Node>& old_nodes,
-                    const std::vector<Place>& after, const std::vector<Node>& new_nodes) {
+std::size_t Changed(const std::vector<Assignment>& before, const std::vector<Node>& old_nodes,
+                    const std::vector<Assignment>& after, const std::vector<Node>& new_nodes) {
   std::set<std::string> a, b;
-  for (const Place& p : before) a.insert(old_nodes[p.node].name);
-  for (const Place& p : after) b.insert(new_nodes[p.node].name);
+  for (const Assignment& p : before) a.insert(old_nodes[p.node].name);
+  for (const Assignment& p : after) b.insert(new_nodes[p.node].name);
   std::size_t out = 0;
   for (const std::string& name : b) out += !a.contains(name);
   return out;
 }
 
 TEST_CASE("one gatekeeper or node that comes or goes changes two places at most, growing and shrinking") {
-  for (const int gatekeepers : {16, 100, 300}) {
+  for (const int gateways : {16, 100, 300}) {
     for (const int count : {30, 60, 200}) {
-      const std::vector<std::string> members = Members(gatekeepers);
+      const std::vector<std::string> members = Members(gateways);
       const std::vector<Node> nodes = Nodes(count);
       std::size_t most = 0;
       for (const std::string& own : members) {
-        const std::vector<Place> before = Subset(kLimits, SeatOf(own, members), "zone-0", false, nodes);
+        const std::vector<Assignment> before =
+            Subset(kLimits, RingPositionOf(own, members), "zone-0", false, nodes);
         std::vector<std::string> more = members, fewer = members;
         more.push_back("gk-new");
         fewer.erase(std::find(fewer.begin(), fewer.end(), own == "gk-5" ? "gk-6" : "gk-5"));
         most = std::max(
-            most, Changed(before, nodes, Subset(kLimits, SeatOf(own, more), "zone-0", false, nodes), nodes));
+            most, Changed(before, nodes, Subset(kLimits, RingPositionOf(own, more), "zone-0", false, nodes),
+                          nodes));
         most = std::max(
-            most, Changed(before, nodes, Subset(kLimits, SeatOf(own, fewer), "zone-0", false, nodes), nodes));
+            most, Changed(before, nodes, Subset(kLimits, RingPositionOf(own, fewer), "zone-0", false, nodes),
+                          nodes));
         std::vector<Node> grown = nodes, shrunk = nodes;
         grown.push_back({"s-new", "zone-0", 0, 1, true});
         shrunk[4].ready = false;
-        most = std::max(most, Changed(before, nodes,
-                                      Subset(kLimits, SeatOf(own, members), "zone-0", false, grown), grown));
-        const std::vector<Place> after = Subset(kLimits, SeatOf(own, members), "zone-0", false, shrunk);
+        most = std::max(
+            most, Changed(before, nodes,
+                          Subset(kLimits, RingPositionOf(own, members), "zone-0", false, grown), grown));
+        const std::vector<Assignment> after =
+            Subset(kLimits, RingPositionOf(own, members), "zone-0", false, shrunk);
         most = std::max(most, Changed(before, nodes, after, shrunk));
-        CHECK(std::none_of(after.begin(), after.end(), [](const Place& p) { return p.node == 4; }));
+        CHECK(std::none_of(after.begin(), after.end(), [](const Assignment& p) { return p.node == 4; }));
       }
-      INFO(gatekeepers << " gatekeepers, " << count << " nodes");
-      CHECK(most <= 2 * static_cast<std::size_t>((count + gatekeepers - 1) / gatekeepers));
+      INFO(gateways << " gatekeepers, " << count << " nodes");
+      CHECK(most <= 2 * static_cast<std::size_t>((count + gateways - 1) / gateways));
     }
   }
 }
 
 TEST_CASE("views that differ by a fifth of the members leave loads near, and nobody is left out") {
   std::mt19937_64 random(5);
-  for (const int gatekeepers : {100, 300}) {
-    const std::vector<std::string> members = Members(gatekeepers);
+  for (const int gateways : {100, 300}) {
+    const std::vector<std::string> members = Members(gateways);
     std::vector<std::vector<std::string>> views;
     for (const std::string& own : members) {
       std::vector<std::string> view;
@@ -156,13 +162,13 @@
   const Limits limits{true, 12, 3};
   const std::vector<std::string> members = Members(300);
   std::vector<Node> nodes = Nodes(180, 3);
-  const auto by_zone = [&](const std::vector<Place>& places) {
+  const auto by_zone = [&](const std::vector<Assignment>& assignments) {
     std::map<std::string, int> out;
-    for (const Place& p : places) ++out[nodes[p.node].zone];
+    for (const Assignment& p : assignments) ++out[nodes[p.node].zone];
     return out;
   };
   for (const std::string& own : members) {
-    const auto zones = by_zone(Subset(limits, SeatOf(own, members), "zone-1", false, nodes));
+    const auto zones = by_zone(Subset(limits, RingPositionOf(own, members), "zone-1", false, nodes));
     CHECK(zones.at("zone-1") >= 12);
     CHECK(zones.at("zone-0") >= 3);
     CHECK(zones.at("zone-2") >= 3);
@@ -170,23 +176,24 @@
   }
   for (Node& node : nodes) node.ready = node.zone != "zone-1" || node.name == "s-1";
   for (const std::string& own : members) {
-    const auto zones = by_zone(Subset(limits, SeatOf(own, members), "zone-1", false, nodes));
+    const auto zones = by_zone(Subset(limits, RingPositionOf(own, members), "zone-1", false, nodes));
     CHECK(zones.at("zone-0") >= 6);
     CHECK(zones.at("zone-2") >= 6);
     CHECK(zones.at("zone-1") == 1);  // all that there is
   }
   nodes = Nodes(180, 3);
   for (const std::string& own : members) {
-    const std::vector<Place> places = Subset(limits, SeatOf(own, members), "zone-1", true, nodes);
+    const std::vector<Assignment> assignments =
+        Subset(limits, RingPositionOf(own, members), "zone-1", true, nodes);
     std::map<std::int64_t, int> pods;
-    for (const Place& p : places) ++pods[nodes[p.node].pod];
+    for (const Assignment& p : assignments) ++pods[nodes[p.node].pod];
     for (const auto& [pod, count] : pods) CHECK(count == 5);
-    CHECK(places.size() >= 18);
+    CHECK(assignments.size() >= 18);
   }
-  // Few nodes are all used, by three gatekeepers as by one.
-  CHECK(Subset(limits, SeatOf("gk-0", Members(3)), "zone-0", false, Nodes(9, 3)).size() == 9);
-  CHECK(Subset(limits, SeatOf("gk-0", {}), "", false, Nodes(200)).size() == 200);
+  // Few nodes are all used, by three gateways as by one.
+  CHECK(Subset(limits, RingPositionOf("gk-0", Members(3)), "zone-0", false, Nodes(9, 3)).size() == 9);
+  CHECK(Subset(limits, RingPositionOf("gk-0", {}), "", false, Nodes(200)).size() == 200);
 }
 
 }  // namespace
-}  // namespace postspread::concert
+}  // namespace postspread::subsetting
