--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -140,9 +140,9 @@
         .spread = std::min(size(), 4),
         .deadline = milliseconds(Draw(300, 2'500)),
         .classes = habit == Habit::kSlowReader
-                       ? std::vector<RequestClass>{RequestClass::kSafe}
-                       : std::vector<RequestClass>{RequestClass::kSafe, RequestClass::kKeyed,
-                                                   RequestClass::kUnsafe}};
+                       ? std::vector<RequestClass>{RequestClass::kIdempotent}
+                       : std::vector<RequestClass>{RequestClass::kIdempotent, RequestClass::kIdempotencyKey,
+                                                   RequestClass::kNotIdempotent}};
     to.push_back(std::make_unique<HabitClient>(rig_.base(), ledger_, target, habit, random_()));
   }
 
--- a/bench/soak_oracle.cpp
+++ b/bench/soak_oracle.cpp
@@ -145,7 +145,7 @@
   ++record->attempts;
   const auto now = Clock::now();
   const std::string name(id);
-  if (record->request_class == RequestClass::kUnsafe && record->attempts > 1) {
+  if (record->request_class == RequestClass::kNotIdempotent && record->attempts > 1) {
     Broken("unsafe requests run once", Describe(name, *record));
   }
   if (CutBetween(record->gateway, record->written, now)) return;
--- a/include/postspread/control.h
+++ b/include/postspread/control.h
@@ -27,36 +27,36 @@
 using RequestId = std::uint64_t;
 
 // Whether a request that may have run may be sent again: always; to the servers that drop its repeats; never.
-enum class Repeat { kSafe, kKeyed, kUnsafe };
-enum class Scope { kAll, kZone, kCell };               // the servers that drop repeats of one keyed request
+enum class RetrySafety { kIdempotent, kIdempotencyKey, kNotIdempotent };
+enum class KeyScope { kAll, kZone, kCell };            // the servers that drop repeats of one keyed request
 enum class DiscoveryMode { kPushed, kSubscribe };      // does the endpoint list come unasked?
 enum class ReportSource { kNone, kAnswers, kProbes };  // where load reports come from
 enum class WeightMeaning { kNone, kNominal, kRough, kLive };
 
 struct ClassSettings {
   std::string name;
-  Duration aim{0};       // an answer within this earns full worth
-  Duration deadline{0};  // the longest that a client waits over all its tries
-  Repeat repeat = Repeat::kSafe;
-  Scope scope = Scope::kAll;  // keyed classes only
-  Duration key_ttl{0};        // keyed classes only: from the first send that may have run
+  Duration latency_objective{0};  // an answer within this earns full worth
+  Duration deadline{0};           // the longest that a client waits over all its tries
+  RetrySafety retry_safety = RetrySafety::kIdempotent;
+  KeyScope scope = KeyScope::kAll;  // keyed classes only
+  Duration key_ttl{0};              // keyed classes only: from the first send that may have run
   bool stream = false;
-  double worth = 1.0;       // of one request
-  double late_worth = 0.0;  // share of the worth that an answer between aim and deadline earns
+  double priority_weight = 1.0;  // of one request
+  double late_weight = 0.0;      // share of the worth that an answer between aim and deadline earns
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct PlanSettings {
   std::string name;
-  double rate = 0.0;           // units per second for each customer over all gateways; 0: no such quota
-  double burst = 0.0;          // units that may be used at once
-  double max_open = 0.0;       // attempts open at once; 0: no such quota
-  double ceiling_rate = 0.0;   // hard ceiling, units per second; 0: none
-  double ceiling_burst = 0.0;  // units
-  double ceiling_slack = 0.0;  // units
-  double price = 1.0;          // factor of the worth
-  double excess_worth = 0.0;   // share of the worth earned when sent on beyond the quota
-  double excess_cost = 0.0;    // share of the worth paid when sent on beyond the quota
+  double rate = 0.0;               // units per second for each customer over all gateways; 0: no such quota
+  double burst = 0.0;              // units that may be used at once
+  double max_concurrent = 0.0;     // attempts open at once; 0: no such quota
+  double ceiling_rate = 0.0;       // hard ceiling, units per second; 0: none
+  double ceiling_burst = 0.0;      // units
+  double ceiling_slack = 0.0;      // units
+  double price = 1.0;              // factor of the worth
+  double over_quota_weight = 0.0;  // share of the worth earned when sent on beyond the quota
+  double over_quota_cost = 0.0;    // share of the worth paid when sent on beyond the quota
   bool operator==(const PlanSettings&) const = default;
 };
 
@@ -72,34 +72,34 @@
   WeightMeaning weights = WeightMeaning::kNone;
   Duration tick{0};  // the least time between two events at different times
 
-  bool has_counter = false;     // CounterAdd may be used
-  Duration counter_timeout{0};  // a call unanswered by then ends as kTimeout
-  double counter_price = 0.0;   // share of the result lost at one call for each request
-  bool cost_after = false;      // units are a guess; the answer tells the true number
-  double max_units = 1.0;       // of one request
-  Duration meter_period{0};     // over which answers tell the customer's use; 0: they do not
-
-  int max_attempts = 1;         // for one request
-  bool second_copies = false;   // a request may have two attempts open
-  bool can_cancel = false;      // Cancel may be used
-  bool can_probe = false;       // Probe may be used
-  bool can_tell = false;        // peers may be told things ...
-  double mail_per_s = 0.0;      // ... and take in so many messages a second
-  bool retry_after = false;     // clients are given the retry-after of a refusal
-  Duration max_retry_after{0};  // the longest that clients heed; 0: not known
+  bool has_counter = false;             // CounterAdd may be used
+  Duration counter_timeout{0};          // a call unanswered by then ends as kTimeout
+  double counter_price = 0.0;           // share of the result lost at one call for each request
+  bool settles_after_response = false;  // units are a guess; the answer tells the true number
+  double max_units = 1.0;               // of one request
+  Duration meter_period{0};             // over which answers tell the customer's use; 0: they do not
+
+  int max_attempts = 1;                   // for one request
+  bool hedging_allowed = false;           // a request may have two attempts open
+  bool can_cancel = false;                // Cancel may be used
+  bool can_probe = false;                 // Probe may be used
+  bool can_message_peers = false;         // peers may be told things ...
+  double peer_messages_per_second = 0.0;  // ... and take in so many messages a second
+  bool retry_after = false;               // clients are given the retry-after of a refusal
+  Duration max_retry_after{0};            // the longest that clients heed; 0: not known
   Duration dial_timeout{0};
   double probe_price = 0.0;       // of one probe for each request
   double zone_cross_price = 0.0;  // of one crossing for each request
   double waste_price = 0.0;
   double late_fail_price = 0.0;
 
-  Duration answer_slack{0};      // after the deadline, in which a final answer still counts
-  Duration drain_grace{0};       // in which sends to a server that drains or is gone must end
-  Duration subscribe_within{0};  // without a subscription, what was listed so long ago counts as told
-  double cold_share = 1.0;       // a server starts with no less than this share of its capacity
-  Duration warm_within{0};       // and is warm within this
-  double fall_multiple = 0.0;    // sent more than this multiple of its capacity at the time ...
-  Duration fall_window{0};       // ... for so long, a cold server falls over
+  Duration answer_slack{0};         // after the deadline, in which a final answer still counts
+  Duration drain_grace{0};          // in which sends to a server that drains or is gone must end
+  Duration subscribe_within{0};     // without a subscription, what was listed so long ago counts as told
+  double cold_capacity = 1.0;       // a server starts with no less than this share of its capacity
+  Duration slow_start_duration{0};  // and is warm within this
+  double overload_multiple = 0.0;   // sent more than this multiple of its capacity at the time ...
+  Duration overload_window{0};      // ... for so long, a cold server falls over
 
   double goal_whole = 1.0;  // weights of the parts of the result
   double goal_worst_window = 0.0;
@@ -166,7 +166,7 @@
   double demand = -1;         // the customer's, over its rate, as other gateways tell; below 0: not told
 };
 
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
+enum class Outcome { kOk, kError, kRejected, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 
 // An attempt is over. Delivered exactly once for each Send.
 struct OutcomeEvent {
@@ -232,7 +232,7 @@
   Duration begin_within{0};  // past it nothing may be sent: a repeat of what may have run would run again
 };
 
-struct Refuse {  // final: not done, and trying again is harmless
+struct Reject {  // final: not done, and trying again is harmless
   RequestId id = 0;
   Duration retry_after{0};  // 0: no advice
 };
@@ -274,7 +274,7 @@
 };
 
 using Action =
-    std::variant<Send, Refuse, Fail, Cancel, SetTimer, CounterAdd, Probe, Subscribe, ObservedUsage, Log>;
+    std::variant<Send, Reject, Fail, Cancel, SetTimer, CounterAdd, Probe, Subscribe, ObservedUsage, Log>;
 
 // Makes the decisions of one gateway. Not thread-safe: one thread at a time.
 class Controller {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -141,7 +141,7 @@
       const json& own = Part(settings, "Limits");
       out.upstream_idle = std::chrono::microseconds(
           Limit(own, "ConnIdle", 1, std::chrono::microseconds(kDefaultUpstreamIdle).count()));
-      out.max_open = static_cast<std::size_t>(Limit(own, "MaxOpen", 1, kUsualMaxOpen));
+      out.max_in_flight = static_cast<std::size_t>(Limit(own, "MaxOpen", 1, kUsualMaxOpen));
       return 0;
     });
     if (out.settings.classes.empty()) throw ConfigError("settings: member \"Classes\" is empty");
@@ -155,7 +155,8 @@
 }
 
 std::optional<Peers> ToPeers(const Config& config) {
-  if (!config.settings.can_tell || config.peer_listen.empty() || config.peers.empty()) return std::nullopt;
+  if (!config.settings.can_message_peers || config.peer_listen.empty() || config.peers.empty())
+    return std::nullopt;
   if (std::ssize(config.peers) != config.settings.group_size) {
     throw ConfigError("\"peers\" names " + std::to_string(config.peers.size()) +
                       " gatekeepers, the settings " + std::to_string(config.settings.group_size));
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -41,7 +41,7 @@
   EndpointList known;
   Settings settings;
   std::chrono::microseconds upstream_idle{0};  // an upstream closes a connection that stood idle for so long
-  std::size_t max_open = 0;                    // requests held at once
+  std::size_t max_in_flight = 0;               // requests held at once
   // The file's keys, sorted, as "settings.Limits.MostTries"; of a list's elements those that all of them
   // have, as "settings.Classes[].Aim". Below `known` none are kept.
   std::vector<std::string> keys;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -101,7 +101,9 @@
   }
   if (!operators.idempotency.enabled) return;
   for (const postspread::ClassSettings& cls : config.settings.classes) {
-    if (cls.repeat != postspread::Repeat::kKeyed || operators.idempotency.keep >= cls.key_ttl) continue;
+    if (cls.retry_safety != postspread::RetrySafety::kIdempotencyKey ||
+        operators.idempotency.keep >= cls.key_ttl)
+      continue;
     throw config::ConfigError("idempotency.keep is shorter than the KeyTtl of class \"" + cls.name + "\", " +
                               std::to_string(cls.key_ttl.count() / 1000) + "ms");
   }
--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -26,8 +26,9 @@
 resp::Vocabulary ToVocabulary(const Settings& settings) {
   resp::Vocabulary out;
   for (const ClassSettings& c : settings.classes) {
-    out.classes.push_back(
-        {.name = c.name, .is_safe = c.repeat == Repeat::kSafe, .is_keyed = c.repeat == Repeat::kKeyed});
+    out.classes.push_back({.name = c.name,
+                           .is_safe = c.retry_safety == RetrySafety::kIdempotent,
+                           .is_keyed = c.retry_safety == RetrySafety::kIdempotencyKey});
   }
   for (const PlanSettings& p : settings.plans) out.plans.push_back(p.name);
   out.gateways = settings.group_size;
@@ -91,7 +92,7 @@
       config_(config),
       operators_(operators),
       planner_(config.settings, config.seed, WallNow(), Clock::now(), ToExtras(config, operators, disabled)),
-      max_open_(config.max_open),
+      max_in_flight_(config.max_in_flight),
       shares_(SharesOf(config)),
       request_budget_(shares_.requests),
       bodies_(shares_.bodies),
@@ -109,12 +110,12 @@
             *this),
       client_listener_(base, config.listen, config.inherited, ToVocabulary(config.settings), shares_.clients,
                        bodies_, metrics_, *this),
-      datagrams_(config.settings.mail_per_s) {
+      datagrams_(config.settings.peer_messages_per_second) {
   if (config.counter) DialCounter(*config.counter);
   OnEndpointList(config.known, planner::EndpointUpdateKind::kRemembered);
   discovery_.emplace(base, config.discovery, config.settings.dial_timeout, config.settings.group_size,
                      config.seed, [this](config::EndpointList endpoint_list) {
-                       const auto scope = endpoint_list.full ? planner::EndpointUpdateKind::kFull
+                       const auto scope = endpoint_list.full ? planner::EndpointUpdateKind::kSnapshot
                                                              : planner::EndpointUpdateKind::kChanges;
                        OnEndpointList(std::move(endpoint_list), scope);
                      });
@@ -253,8 +254,8 @@
   using Reason = ops::RefusalReason;
   const auto now = Clock::now();
   const microseconds longest = LongestDeadline();
-  if (!lifecycle_.TakesRequests(now, longest)) return Refuse(request, Reason::kLeaving, writer, slot);
-  if (in_flight_.size() >= max_open_) return Refuse(request, Reason::kTooManyHeld, writer, slot);
+  if (!lifecycle_.TakesRequests(now, longest)) return RejectRequest(request, Reason::kLeaving, writer, slot);
+  if (in_flight_.size() >= max_in_flight_) return RejectRequest(request, Reason::kTooManyHeld, writer, slot);
   // Where the loop stood still it may have come as long ago as that, and its client has waited since. What
   // comes in a stop has no more time than the platform leaves it.
   Request timely = request;
@@ -262,9 +263,9 @@
   if (lifecycle_.stopping()) {
     left = std::min(left, std::chrono::floor<milliseconds>(lifecycle_.AnswerBy(longest) - now));
   }
-  if (left.count() <= 0) return Refuse(request, Reason::kNoTimeLeft, writer, slot);
+  if (left.count() <= 0) return RejectRequest(request, Reason::kNoTimeLeft, writer, slot);
   timely.timeout = left;
-  if (!Budget(encoded).Take(encoded.size())) return Refuse(request, Reason::kNoMemory, writer, slot);
+  if (!Budget(encoded).Take(encoded.size())) return RejectRequest(request, Reason::kNoMemory, writer, slot);
   const planner::Planner::PickResult result = planner_.Pick(timely, now);
   in_flight_.emplace(result.number, InFlightRequest{.encoded = std::move(encoded),
                                                     .effect = EffectOf(request.class_name),
@@ -277,8 +278,8 @@
 }
 
 // A refusal that the decision module is not asked for.
-RequestId GatewayServer::Refuse(const Request& request, ops::RefusalReason reason, ResponseWriter& writer,
-                                ResponseWriter::Slot slot) {
+RequestId GatewayServer::RejectRequest(const Request& request, ops::RefusalReason reason,
+                                       ResponseWriter& writer, ResponseWriter::Slot slot) {
   const Settings& settings = config_.settings;
   metrics_.Refused(reason);
   ++metrics_.Of(request.class_name).rejected;
@@ -288,11 +289,11 @@
   return 0;
 }
 
-Repeat GatewayServer::EffectOf(std::string_view class_name) const {
+RetrySafety GatewayServer::EffectOf(std::string_view class_name) const {
   const auto& classes = config_.settings.classes;
   const auto found = std::find_if(classes.begin(), classes.end(),
                                   [class_name](const ClassSettings& c) { return c.name == class_name; });
-  return found == classes.end() ? Repeat::kUnsafe : found->repeat;
+  return found == classes.end() ? RetrySafety::kNotIdempotent : found->retry_safety;
 }
 
 flow::ByteBudget& GatewayServer::Budget(const resp::EncodedRequest& encoded) {
@@ -470,7 +471,7 @@
   if (found == in_flight_.end()) return;
   InFlightRequest& held = found->second;
   metrics_.repeated_attempts += action.attempt > 0;
-  if (const std::optional<safety::Rule> rule = safety::MayRepeat(held.effect, held.attempts)) {
+  if (const std::optional<safety::Rule> rule = safety::MayRetry(held.effect, held.attempts)) {
     metrics_.rules.Prevented(*rule);
     Log("attempt not begun", "it would break the rule " + std::string(Name(*rule)));
     return OnAttemptFinished({.request = action.request,
@@ -577,8 +578,8 @@
   const bool more = config.name != config_.name || !(config.listen == config_.listen) ||
                     config.memory_mb != config_.memory_mb || config.sockets != config_.sockets ||
                     plans_stay || times_differ || config.upstream_idle != config_.upstream_idle ||
-                    config.max_open != config_.max_open || keys_differ || membership_differs;
-  datagrams_.SetPace(config.settings.mail_per_s);
+                    config.max_in_flight != config_.max_in_flight || keys_differ || membership_differs;
+  datagrams_.SetPace(config.settings.peer_messages_per_second);
   config_.settings = std::move(settings);
   config_.keys = config.keys;
   RegisterClasses();
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -59,7 +59,7 @@
  private:
   struct InFlightRequest {  // a request that is owed its final answer
     resp::EncodedRequest encoded;
-    Repeat effect = Repeat::kSafe;                   // of its class when it came
+    RetrySafety effect = RetrySafety::kIdempotent;   // of its class when it came
     std::vector<safety::EarlierAttempt> attempts{};  // by number
     ResponseWriter* writer = nullptr;  // null: its sender has gone, and its work goes on for others
     ResponseWriter::Slot slot = 0;
@@ -124,10 +124,10 @@
   void AdvanceShutdown();
   void FailAllInFlight();
   std::chrono::microseconds LongestDeadline() const;
-  Repeat EffectOf(std::string_view class_name) const;
+  RetrySafety EffectOf(std::string_view class_name) const;
   void RecordAttemptEnd(const planner::AttemptReport& report);
-  RequestId Refuse(const Request& request, ops::RefusalReason reason, ResponseWriter& writer,
-                   ResponseWriter::Slot slot);
+  RequestId RejectRequest(const Request& request, ops::RefusalReason reason, ResponseWriter& writer,
+                          ResponseWriter::Slot slot);
   void FinishShutdown();
   void StartAccepting();
   void DialCounter(const config::Address& address);
@@ -138,7 +138,7 @@
   config::Config config_;
   operator_file::OperatorFile operators_;
   planner::Planner planner_;
-  std::size_t max_open_;
+  std::size_t max_in_flight_;
   flow::Shares shares_;
   flow::ByteBudget request_budget_;  // commands held, but for the large ones
   flow::ByteBudget bodies_;          // large commands, in reading and held
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -35,7 +35,7 @@
     case AttemptResult::kError:
       return Outcome::kError;
     case AttemptResult::kTurnedAway:
-      return Outcome::kFull;
+      return Outcome::kRejected;
     case AttemptResult::kTimedOut:
       return Outcome::kTimeout;
     case AttemptResult::kCouldNotConnect:
@@ -93,8 +93,9 @@
       settings_(std::move(settings)),
       controller_(settings_, seed, wall),
       subsetting_(extras.subsetting) {
-  if (extras.usage.broadcast && extras.has_peers && settings_.can_tell) {
-    usage_table_.emplace(usage::UsageOptions{settings_.group_size, settings_.mail_per_s, seed}, wall);
+  if (extras.usage.broadcast && extras.has_peers && settings_.can_message_peers) {
+    usage_table_.emplace(usage::UsageOptions{settings_.group_size, settings_.peer_messages_per_second, seed},
+                         wall);
   }
   if (extras.membership.enabled) {
     const auto incarnation = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count();
@@ -166,9 +167,10 @@
 // Upstreams that others use are told to the decisions as draining: what is under way there ends, nothing new
 // begins. `report` comes to name all whose state changes by it.
 void Planner::ApplySubset(EndpointListReport& report) {
-  const bool by_pod = std::any_of(
-      settings_.classes.begin(), settings_.classes.end(),
-      [](const ClassSettings& c) { return c.repeat == Repeat::kKeyed && c.scope != Scope::kAll; });
+  const bool by_pod =
+      std::any_of(settings_.classes.begin(), settings_.classes.end(), [](const ClassSettings& c) {
+        return c.retry_safety == RetrySafety::kIdempotencyKey && c.scope != KeyScope::kAll;
+      });
   std::vector<subsetting::Node> nodes;
   for (const auto& [name, upstream] : upstreams_) {
     nodes.push_back(
@@ -364,7 +366,7 @@
   out.customer = idempotency::DigestCustomer(request.customer);
   out.deadline = now + std::max(std::chrono::milliseconds(1), request.timeout - kOnTheWay);
   out.window = cls->key_ttl;
-  out.pinned = cls->scope != Scope::kAll;
+  out.pinned = cls->scope != KeyScope::kAll;
   std::copy_n(request.customer.begin(), std::min(request.customer.size(), out.work.customer.size()),
               out.work.customer.begin());
   out.work.class_index = static_cast<std::int16_t>(cls - settings_.classes.begin());
@@ -465,7 +467,7 @@
     ready.try_emplace(upstream.cell, 0);
     if (upstream.state != UpstreamState::kReady) continue;
     ++ready[upstream.cell];
-    if (now - upstream.started >= settings_.warm_within) ++warm[upstream.cell];
+    if (now - upstream.started >= settings_.slow_start_duration) ++warm[upstream.cell];
   }
   // Keys go to pods that are warm: a cold one would have to turn most of them away.
   std::vector<idempotency::Pod> pods;
@@ -482,7 +484,8 @@
   out.elapsed = report.elapsed;
   out.load = ToLoad(report.load);
   // No request has more units than the settings say: what tells of more is as good as unreadable.
-  if (settings_.cost_after && report.use.units <= settings_.max_units) out.true_units = report.use.units;
+  if (settings_.settles_after_response && report.use.units <= settings_.max_units)
+    out.true_units = report.use.units;
   if (report.result == AttemptResult::kServed) open_.erase(report.request);
   out.final = !open_.contains(report.request);
   return out;
@@ -505,7 +508,7 @@
                                   .started = upstream.started});
   }
   EndpointListEvent out;
-  out.kind = report.scope == EndpointUpdateKind::kFull      ? EndpointListKind::kComplete
+  out.kind = report.scope == EndpointUpdateKind::kSnapshot  ? EndpointListKind::kComplete
              : report.scope == EndpointUpdateKind::kChanges ? EndpointListKind::kPartial
                                                             : EndpointListKind::kPersisted;
   out.version = report.index;
@@ -533,7 +536,7 @@
       StartAttempt{action.id, attempt, std::move(action.server), action.timeout, action.begin_within});
 }
 
-void Planner::Translate(postspread::Refuse&& action, TimePoint) {
+void Planner::Translate(postspread::Reject&& action, TimePoint) {
   open_.erase(action.id);
   if (NeedsAnswer(action.id)) {
     finished_.push_back({action.id, idempotency::End::kRefused, {}, action.retry_after});
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -128,7 +128,7 @@
   Event ToEvent(PeerReport&& report);
   Event ToEvent(MembershipReport&& report);
   void Translate(postspread::Send&& action, TimePoint now);
-  void Translate(postspread::Refuse&& action, TimePoint now);
+  void Translate(postspread::Reject&& action, TimePoint now);
   void Translate(postspread::Fail&& action, TimePoint now);
   void Translate(postspread::Cancel&& action, TimePoint now);
   void Translate(postspread::SetTimer&& action, TimePoint now);
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -167,10 +167,10 @@
   std::chrono::microseconds elapsed{0};
 };
 
-enum class EndpointUpdateKind { kRemembered, kFull, kChanges };
+enum class EndpointUpdateKind { kRemembered, kSnapshot, kChanges };
 
 struct EndpointListReport {
-  EndpointUpdateKind scope = EndpointUpdateKind::kFull;
+  EndpointUpdateKind scope = EndpointUpdateKind::kSnapshot;
   std::uint64_t index = 0;
   std::vector<Upstream> upstreams;
 };
--- a/src/policy/control.cpp
+++ b/src/policy/control.cpp
@@ -31,10 +31,10 @@
 
   void Reconfigure(Settings next) {
     rules.clear();
-    max_aim = Duration(0);
+    longest_objective = Duration(0);
     for (const ClassSettings& cls : next.classes) {
       rules.push_back(std::make_shared<const ClassSettings>(cls));
-      max_aim = std::max(max_aim, cls.aim);
+      longest_objective = std::max(longest_objective, cls.latency_objective);
     }
     const Settings before = std::exchange(set, std::move(next));
     load_.Reconfigure(before.classes);
@@ -74,7 +74,7 @@
     r.pin = e.pin;
     if (r.pin) r.key_until = now_ - r.pin->age + Cls(r).key_ttl;
     r.deadline = now_ + e.time_left;
-    r.aim_at = now_ + std::min(Cls(r).aim, e.time_left);
+    r.objective_at = now_ + std::min(Cls(r).latency_objective, e.time_left);
     Do(SetTimer{std::max(Duration(0), e.time_left - set_.tick), Token(kEndDue, r.id)});
     retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryShare);
     // Sooner the load figures would say the same.
@@ -118,8 +118,9 @@
     r.attempts.push_back(Attempt{s->info.id, now_});
     Do(Send{r.id, s->info.id, r.deadline - now_, RepeatUntil(r) - now_});
     const double silent = kSilentFactor * load_.Usual(r);
-    Do(SetTimer{FromSeconds(std::max(silent, Seconds(Cls(r).aim) / 4)), Token(kCheckDue, r.id)});
-    Do(SetTimer{Cls(r).aim, Token(kLateDue, r.id)});
+    Do(SetTimer{FromSeconds(std::max(silent, Seconds(Cls(r).latency_objective) / 4)),
+                Token(kCheckDue, r.id)});
+    Do(SetTimer{Cls(r).latency_objective, Token(kLateDue, r.id)});
   }
 
   bool AnyOpen(const RequestState& r) const {
@@ -131,12 +132,13 @@
     if (r.stage != Stage::kOut || r.attempts.empty() || !r.attempts.back().open) return;
     const Servers::Server* s = servers_.Find(r.attempts.back().server);
     // In a queue all are late: a second copy would lengthen it, a move would lose its place.
-    if (load_.Pressure(Cls(r)) > (set_.second_copies ? kRoomPressure : kPressureAim)) return;
+    if (load_.Pressure(Cls(r)) > (set_.hedging_allowed ? kRoomPressure : kPressureAim)) return;
     const bool stuck = s == nullptr || s->heard <= r.attempts.back().sent;
-    const bool may = Cls(r).repeat != Repeat::kUnsafe && (set_.second_copies || set_.can_cancel) && !r.resend;
+    const bool may = Cls(r).retry_safety != RetrySafety::kNotIdempotent &&
+                     (set_.hedging_allowed || set_.can_cancel) && !r.resend;
     if (!stuck || !may || retry_budget_ < 1 || std::ssize(r.attempts) >= r.most_attempts) return;
     retry_budget_ -= 1;
-    if (set_.second_copies) return Dispatch(r);
+    if (set_.hedging_allowed) return Dispatch(r);
     r.resend = true;
     Do(Cancel{r.id, static_cast<int>(r.attempts.size()) - 1});
   }
@@ -149,7 +151,7 @@
     const auto at = static_cast<std::size_t>(std::max(0, e.attempt));
     if (at >= r.attempts.size() || !r.attempts[at].open) return;
     r.attempts[at].open = false;
-    r.attempts[at].may_have_run = !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed ||
+    r.attempts[at].may_have_run = !(e.outcome == Outcome::kRejected || e.outcome == Outcome::kConnectFailed ||
                                     e.outcome == Outcome::kNotSent);
     load_.StopTiming(r, r.attempts[at], r.attempts[at].may_have_run);
     const bool good = e.outcome == Outcome::kOk;
@@ -179,8 +181,9 @@
     const auto& tries = r.attempts;
     const bool before = r.pin && r.pin->may_have_run;
     const auto ran = [](const Attempt& a) { return a.may_have_run; };
-    return (!before && std::none_of(tries.begin(), tries.end(), ran)) || Cls(r).repeat == Repeat::kSafe ||
-           (Cls(r).repeat == Repeat::kKeyed && Cls(r).scope == Scope::kAll);
+    return (!before && std::none_of(tries.begin(), tries.end(), ran)) ||
+           Cls(r).retry_safety == RetrySafety::kIdempotent ||
+           (Cls(r).retry_safety == RetrySafety::kIdempotencyKey && Cls(r).scope == KeyScope::kAll);
   }
 
   // Tells when to come back: not before there may be room, and not all at once. Guards against retry storms.
@@ -191,7 +194,7 @@
     const Duration most = FromSeconds(Seconds(set_.max_retry_after) * (1 - kRetrySpread / 4 * chance));
     if (set_.max_retry_after.count() > 0) retry_after = std::min(retry_after, most);
     if (!set_.retry_after) retry_after = Duration(0);
-    Do(Refuse{r.id, retry_after});
+    Do(Reject{r.id, retry_after});
     Close(r);
   }
 
@@ -229,7 +232,7 @@
     RequestState& r = it->second;
     if (kind == kLateDue) {
       for (Attempt& a : r.attempts) {
-        if (now_ - a.sent >= Cls(r).aim) load_.StopTiming(r, a, true);
+        if (now_ - a.sent >= Cls(r).latency_objective) load_.StopTiming(r, a, true);
       }
       // In overload what passed its aim makes room, unless clients come again unmarked and double the work.
       if (marked_ && r.stage == Stage::kOut && load_.Pressure(Cls(r)) > kPressureHigh) return Ended(r);
--- a/src/policy/load.h
+++ b/src/policy/load.h
@@ -24,7 +24,7 @@
   // The share of its aim that a request now spends in service.
   double Pressure(const ClassSettings& cls) {
     const double latency = Latency();
-    return Sure() * (latency - base()) / std::max(0.001, Seconds(cls.aim) - base());
+    return Sure() * (latency - base()) / std::max(0.001, Seconds(cls.latency_objective) - base());
   }
 
   // Guards against queues longer than the aim: sheds what keeps service within it, most of what is worth
@@ -60,7 +60,7 @@
   // worst-served plan and class, that part of it is worth the same for all.
   double Value(const RequestState& r) {
     const auto worth = [this](std::size_t cls, std::size_t plan) {
-      return set_.classes[cls].worth * set_.plans[plan].price / std::max(1e-3, UsualOf(cls));
+      return set_.classes[cls].priority_weight * set_.plans[plan].price / std::max(1e-3, UsualOf(cls));
     };
     const auto [sum, total] = OverTraffic(worth);
     const double own = worth(static_cast<std::size_t>(r.cls), static_cast<std::size_t>(r.plan));
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -43,7 +43,7 @@
     if (e.demand >= 0) c.demand = e.demand;
     if (Plan(r.plan).rate <= 0) return Send(r, c);
     if ((e.retry || ask_share_ < 1 || window_ < kWindowMost) && KnownFull(r, c))
-      return Refuse(FromSeconds((c.deficit + r.units - Plan(c.plan).burst) / Plan(c.plan).rate));
+      return Reject(FromSeconds((c.deficit + r.units - Plan(c.plan).burst) / Plan(c.plan).rate));
     if (!set_.has_counter || !MayAsk(Plan(r.plan).ceiling_rate > 0)) return DecideLocally(r, c, false);
     Ask(r, c);
     return {};
@@ -67,7 +67,8 @@
     // As many calls may be out as come back in good time. A share alone is steered by what is long past: a
     // counter slower than its calls fails all of them, counts as down, and is crowded again as soon as it is
     // asked again.
-    const Duration limit = std::min(set_.counter_timeout, FromSeconds(Seconds(max_aim_) * kAskShareOfAim));
+    const Duration limit =
+        std::min(set_.counter_timeout, FromSeconds(Seconds(longest_objective_) * kAskShareOfAim));
     const bool slow = crowded || (ok && Seconds(e.elapsed) > kAskSlow * Seconds(limit));
     --calls_out_;
     if (slow && call.asked >= narrowed_at_) {
@@ -209,7 +210,7 @@
     Refill(c);
     const PlanSettings& p = Plan(c.plan);
     const double over = c.deficit + r.units - p.burst;
-    return over > 0 && p.excess_worth <= p.excess_cost && FromSeconds(over / p.rate) > WaitLeft(r);
+    return over > 0 && p.over_quota_weight <= p.over_quota_cost && FromSeconds(over / p.rate) > WaitLeft(r);
   }
 
   // ---- The ask ----
@@ -242,7 +243,7 @@
     const double back = c.ahead > period ? 0.0 : std::exchange(c.refused, 0.0);
     const double units = r.units * r.weight - (c.ahead == period ? back : 0.0);
     Add(CallKind::kAsk, r.id, c, r.customer, period, units + owed, owed);
-    Do(SetTimer{FromSeconds(Seconds(max_aim_) * kAskShareOfAim), Token(kAskDue, r.id)});
+    Do(SetTimer{FromSeconds(Seconds(longest_objective_) * kAskShareOfAim), Token(kAskDue, r.id)});
   }
 
   // After repeated failures asks stop, but for one now and then that looks whether the counter is back. Where
@@ -345,7 +346,7 @@
     // Where others have filled that count already, no call is made to hear so.
     const double there = c.ahead == period ? c.ahead_total - c.refused : 0.0;
     if (!waits || DebtWait(c, period, there + r.units) > WaitLeft(r))
-      return Refuse(std::max(wait, set_.tick));
+      return Reject(std::max(wait, set_.tick));
     Add(CallKind::kDebt, r.id, c, r.customer, period, r.units);
     return {};
   }
@@ -370,21 +371,23 @@
     if (wait <= WaitLeft(r) && total <= Plan(c.plan).burst)
       return r.moved_to = call.period, Wait(now_ + wait);
     c.refused += call.amount;
-    return Refuse(std::max(wait, set_.tick));
+    return Reject(std::max(wait, set_.tick));
   }
 
   bool Thin(const Customer& c) const { return Plan(c.plan).burst < set_.max_units * c.spread; }
 
   // How long a request can still wait and be served within its aim.
   Duration WaitLeft(const RequestState& r) {
-    const double left = Seconds(std::min(r.aim_at, r.deadline) - now_) * kWaitShare - 1.5 * load_.Usual(r);
+    const double left =
+        Seconds(std::min(r.objective_at, r.deadline) - now_) * kWaitShare - 1.5 * load_.Usual(r);
     return r.retry ? Duration(0) : FromSeconds(left);
   }
 
   // Sending beyond the quota pays while servers have room: it earns more than it costs.
   bool ExcessPays(const RequestState& r, Customer& c) {
     const PlanSettings& p = Plan(c.plan);
-    if (r.retry || p.excess_worth <= p.excess_cost || load_.Pressure(Cls(r)) > kRoomPressure) return false;
+    if (r.retry || p.over_quota_weight <= p.over_quota_cost || load_.Pressure(Cls(r)) > kRoomPressure)
+      return false;
     return p.ceiling_rate <= 0 || DrawCeiling(c, r.units);
   }
 
@@ -416,7 +419,7 @@
     const double ease =
         std::clamp(2 - load_.Pressure(Cls(r)) / kPressureAim - kEaseShed * load_.shed(), 0.0, 1.0);
     const bool now = thin ? Random() < chance * ease : c.slice.level >= r.units;
-    const Duration wait = thin ? FromSeconds(kChanceRetry * Seconds(Cls(r).aim))
+    const Duration wait = thin ? FromSeconds(kChanceRetry * Seconds(Cls(r).latency_objective))
                                : FromSeconds((r.units - c.slice.level) / (p.rate / c.spread));
     const bool later = !thin && p.ceiling_rate <= 0 && wait <= WaitLeft(r);
     if (later || (now && (p.ceiling_rate <= 0 || DrawCeiling(c, r.units)))) {
@@ -425,21 +428,21 @@
       r.grant = Grant::kLocal;
       return now ? Send(r, c) : Wait(now_ + wait);
     }
-    if (!ExcessPays(r, c)) return Refuse(wait);
+    if (!ExcessPays(r, c)) return Reject(wait);
     r.grant = Grant::kExcess;
     return Send(r, c);
   }
 
   // Cleared by the quota; a cap on attempts open at once is kept by an even slice of it.
   Verdict Send(const RequestState& r, const Customer& c) const {
-    const double most = Plan(c.plan).max_open;
+    const double most = Plan(c.plan).max_concurrent;
     if (most > 0 && c.open >= std::max(1.0, std::floor(most / c.spread))) {
-      return Refuse(FromSeconds(load_.Usual(r)));
+      return Reject(FromSeconds(load_.Usual(r)));
     }
     return {Verdict::kSend};
   }
   static Verdict Wait(TimePoint until) { return {Verdict::kWait, until}; }
-  static Verdict Refuse(Duration retry_after) { return {Verdict::kRefuse, retry_after}; }
+  static Verdict Reject(Duration retry_after) { return {Verdict::kRefuse, retry_after}; }
 
   Load& load_;
   std::map<std::string, Customer> customers_;
--- a/src/policy/servers.h
+++ b/src/policy/servers.h
@@ -80,7 +80,8 @@
     };
     const std::size_t n = up_.size();
     Server& drawn = *up_[Random() * n];
-    const double boost = std::clamp(n / std::max(1e-3, warmth_), 1.0, std::max(1.0, set_.fall_multiple / 2));
+    const double boost =
+        std::clamp(n / std::max(1e-3, warmth_), 1.0, std::max(1.0, set_.overload_multiple / 2));
     if (Warmth(drawn) < 1 && InScope(r, drawn) && now_ >= drawn.ejected_until && !tried(drawn) &&
         Random() < Warmth(drawn) * boost) {
       return &drawn;
@@ -109,12 +110,13 @@
     Server& s = it->second;
     s.open = std::max(0, s.open - 1);
     const auto was = e.outcome;
-    if (was == Outcome::kOk || was == Outcome::kError || was == Outcome::kFull) s.heard = s.oldest = now_;
+    if (was == Outcome::kOk || was == Outcome::kError || was == Outcome::kRejected) s.heard = s.oldest = now_;
     // Guards against servers that work but answer too late to be heard: the attempt ends by our own call, and
     // one that was never heard would look like a usual one, better than all that answer slowly. Harm: what
     // clients ask for with little time left makes good servers look slow.
     const bool late = (was == Outcome::kCancelled || was == Outcome::kTimeout) && now_ != core_.stall_end &&
-                      s.heard < now_ - e.elapsed && Seconds(e.elapsed) > kUnanswered * Seconds(max_aim_);
+                      s.heard < now_ - e.elapsed &&
+                      Seconds(e.elapsed) > kUnanswered * Seconds(longest_objective_);
     if (e.load.outstanding >= 0 || e.load.utilization >= 0) {
       const double u = std::clamp(e.load.utilization, 0.0, 1.0);
       if (e.load.utilization >= 0) load_.Reported(u);
@@ -125,7 +127,7 @@
     }
     if (e.outcome != Outcome::kCancelled && e.outcome != Outcome::kNotSent && now_ != core_.stall_end) {
       Zone& zone = zones_[s.info.zone];
-      const double sample = e.outcome == Outcome::kOk ? Seconds(e.elapsed) : Seconds(max_aim_);
+      const double sample = e.outcome == Outcome::kOk ? Seconds(e.elapsed) : Seconds(longest_objective_);
       zone.latency = UsualOf(s.info.zone);
       zone.latency += (sample - zone.latency) * (zone.sampled.count() == 0 ? 1.0 : kFewShare);
       zone.sampled = now_;
@@ -167,9 +169,9 @@
   // The share of a full server's work that one surely can do, some time after its start or its ejection.
   [[nodiscard]] double Warmth(const Server& s, bool with_ejections = true) const {
     const TimePoint since = with_ejections ? std::max(s.info.started, s.back_since) : s.info.started;
-    if (since.count() <= 0 || set_.warm_within.count() <= 0) return 1.0;
-    const double age = std::clamp(Seconds(now_ - since) / Seconds(set_.warm_within), 0.0, 1.0);
-    return set_.cold_share + (1 - set_.cold_share) * age;
+    if (since.count() <= 0 || set_.slow_start_duration.count() <= 0) return 1.0;
+    const double age = std::clamp(Seconds(now_ - since) / Seconds(set_.slow_start_duration), 0.0, 1.0);
+    return set_.cold_capacity + (1 - set_.cold_capacity) * age;
   }
 
   // How many answers a server's own latency still stands for. Guards against one that was slow once and is
@@ -212,16 +214,16 @@
   [[nodiscard]] bool InScope(const RequestState& r, const Server& s) const {
     const ClassSettings& cls = Cls(r);
     if (now_ >= RepeatUntil(r)) return false;
-    if (r.pin && r.pin->bound && cls.scope == Scope::kZone && s.info.zone != r.pin->zone) return false;
-    if (r.pin && r.pin->bound && cls.scope == Scope::kCell && s.info.cell != r.pin->cell) return false;
+    if (r.pin && r.pin->bound && cls.scope == KeyScope::kZone && s.info.zone != r.pin->zone) return false;
+    if (r.pin && r.pin->bound && cls.scope == KeyScope::kCell && s.info.cell != r.pin->cell) return false;
     for (const Attempt& a : r.attempts) {
       if (!a.may_have_run) continue;
-      if (cls.repeat == Repeat::kUnsafe) return false;
-      if (cls.repeat == Repeat::kSafe) continue;
+      if (cls.retry_safety == RetrySafety::kNotIdempotent) return false;
+      if (cls.retry_safety == RetrySafety::kIdempotent) continue;
       const auto it = servers_.find(a.server);
       if (it == servers_.end()) return false;
-      if (cls.scope == Scope::kZone && it->second.info.zone != s.info.zone) return false;
-      if (cls.scope == Scope::kCell && it->second.info.cell != s.info.cell) return false;
+      if (cls.scope == KeyScope::kZone && it->second.info.zone != s.info.zone) return false;
+      if (cls.scope == KeyScope::kCell && it->second.info.cell != s.info.cell) return false;
     }
     return true;
   }
--- a/src/safety/attempt_rules.cpp
+++ b/src/safety/attempt_rules.cpp
@@ -17,8 +17,8 @@
   return std::nullopt;
 }
 
-std::optional<Rule> MayRepeat(Repeat effect, std::span<const EarlierAttempt> earlier) {
-  if (effect != Repeat::kUnsafe) return std::nullopt;
+std::optional<Rule> MayRetry(RetrySafety effect, std::span<const EarlierAttempt> earlier) {
+  if (effect != RetrySafety::kNotIdempotent) return std::nullopt;
   const bool runs = std::any_of(earlier.begin(), earlier.end(),
                                 [](const EarlierAttempt& a) { return a.out || a.may_have_run; });
   if (runs) return Rule::kRunsOnce;
--- a/src/safety/attempt_rules.h
+++ b/src/safety/attempt_rules.h
@@ -38,7 +38,7 @@
 
 // The rule that forbids a further attempt of a request whose class has this effect; nothing: it may be sent.
 // Where repeats of keyed requests may go is the decision module's; how long is MayBegin's.
-std::optional<Rule> MayRepeat(Repeat effect, std::span<const EarlierAttempt> earlier);
+std::optional<Rule> MayRetry(RetrySafety effect, std::span<const EarlierAttempt> earlier);
 
 }  // namespace postspread::safety
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -8,17 +8,19 @@
 ClassSettings DecodeClass(const json& from) {
   ClassSettings out;
   out.name = Text(from, "Name");
-  out.aim = Time(from, "Aim");
+  out.latency_objective = Time(from, "Aim");
   out.deadline = Time(from, "HardLimit");
   if (out.deadline.count() == 0) Bad("member \"HardLimit\" is not above 0");
-  out.repeat = Word<Repeat>(
-      from, "Effect", {{"safe", Repeat::kSafe}, {"keyed", Repeat::kKeyed}, {"unsafe", Repeat::kUnsafe}});
-  out.scope = WordOr(from, "DedupScope", Scope::kAll,
-                     {{"all", Scope::kAll}, {"zone", Scope::kZone}, {"cell", Scope::kCell}});
+  out.retry_safety = Word<RetrySafety>(from, "Effect",
+                                       {{"safe", RetrySafety::kIdempotent},
+                                        {"keyed", RetrySafety::kIdempotencyKey},
+                                        {"unsafe", RetrySafety::kNotIdempotent}});
+  out.scope = WordOr(from, "DedupScope", KeyScope::kAll,
+                     {{"all", KeyScope::kAll}, {"zone", KeyScope::kZone}, {"cell", KeyScope::kCell}});
   out.key_ttl = TimeOr(from, "KeyTtl");
   out.stream = FlagOr(from, "Stream");
-  out.worth = NumberOr(from, "Importance", 1);
-  out.late_worth = NumberOr(from, "LateShare", 0);
+  out.priority_weight = NumberOr(from, "Importance", 1);
+  out.late_weight = NumberOr(from, "LateShare", 0);
   return out;
 }
 
@@ -27,13 +29,13 @@
   out.name = Text(from, "Name");
   out.rate = NumberOr(from, "PerSecond", 0);
   out.burst = NumberOr(from, "Depth", 0);
-  out.max_open = NumberOr(from, "AtOnce", 0);
+  out.max_concurrent = NumberOr(from, "AtOnce", 0);
   out.ceiling_rate = NumberOr(from, "CapRate", 0);
   out.ceiling_burst = NumberOr(from, "HardBurst", 0);
   out.ceiling_slack = NumberOr(from, "CeilingSlack", 0);
   out.price = NumberOr(from, "Pays", 1);
-  out.excess_worth = NumberOr(from, "ExcessWorth", 0);
-  out.excess_cost = NumberOr(from, "ExcessCost", 0);
+  out.over_quota_weight = NumberOr(from, "ExcessWorth", 0);
+  out.over_quota_cost = NumberOr(from, "ExcessCost", 0);
   if (out.rate < 0) Bad("member \"PerSecond\" of \"" + out.name + "\" is below 0");
   // A store that holds nothing lets nothing in, and its period would have no length.
   if (out.rate > 0 && out.burst <= 0) Bad("member \"Depth\" of \"" + out.name + "\" is not above 0");
@@ -86,19 +88,19 @@
   // Each call would be out of time at once.
   if (out.has_counter && out.counter_timeout.count() <= 0) Bad("member \"CountLimit\" is not above 0");
   out.counter_price = NumberOr(domain, "CallPrice", 0);
-  out.cost_after = FlagOr(domain, "CostAfter");
+  out.settles_after_response = FlagOr(domain, "CostAfter");
   out.max_units = NumberOr(domain, "MaxUnits", 1);
   if (out.max_units <= 0) Bad("member \"MaxUnits\" is not above 0");
   out.meter_period = TimeOr(domain, "MeterPeriod");
-  out.mail_per_s = NumberOr(domain, "MailPerS", 0);
+  out.peer_messages_per_second = NumberOr(domain, "MailPerS", 0);
 
   const json& limits = Part(from, "Limits");
   out.max_attempts =
       Find(limits, "MostTries") == nullptr ? 1 : static_cast<int>(Integer(limits, "MostTries", 1, 1000));
-  out.second_copies = FlagOr(limits, "SecondCopies");
+  out.hedging_allowed = FlagOr(limits, "SecondCopies");
   out.can_cancel = FlagOr(limits, "Cancelling");
   out.can_probe = FlagOr(limits, "Probes");
-  out.can_tell = FlagOr(limits, "MayTell");
+  out.can_message_peers = FlagOr(limits, "MayTell");
   out.retry_after = FlagOr(limits, "RetryAfter");
   out.max_retry_after = TimeOr(limits, "MaxRetryAfter");
   out.dial_timeout = TimeOr(limits, "DialTimeout");
@@ -117,11 +119,11 @@
   out.answer_slack = TimeOr(safety, "AnswerSlack");
   out.drain_grace = TimeOr(safety, "DrainGrace");
   out.subscribe_within = TimeOr(safety, "AskWithin");
-  out.cold_share = NumberOr(safety, "ColdShare", 1);
-  if (out.cold_share < 0 || out.cold_share > 1) Bad("member \"ColdShare\" is not between 0 and 1");
-  out.warm_within = TimeOr(safety, "WarmWithin");
-  out.fall_multiple = NumberOr(safety, "FallMultiple", 0);
-  out.fall_window = TimeOr(safety, "Fall");
+  out.cold_capacity = NumberOr(safety, "ColdShare", 1);
+  if (out.cold_capacity < 0 || out.cold_capacity > 1) Bad("member \"ColdShare\" is not between 0 and 1");
+  out.slow_start_duration = TimeOr(safety, "WarmWithin");
+  out.overload_multiple = NumberOr(safety, "FallMultiple", 0);
+  out.overload_window = TimeOr(safety, "Fall");
 
   const json& goal = Part(from, "Goal");
   out.goal_whole = NumberOr(goal, "Whole", 1);
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -42,7 +42,7 @@
   return Word<Outcome>(from, "Reason",
                        {{"pass", Outcome::kOk},
                         {"fault", Outcome::kError},
-                        {"no_room", Outcome::kFull},
+                        {"no_room", Outcome::kRejected},
                         {"too_slow", Outcome::kTimeout},
                         {"no_route", Outcome::kConnectFailed},
                         {"cut", Outcome::kReset},
@@ -142,7 +142,7 @@
     if (a.timeout.count() != 0) out["Limit"] = a.timeout.count();
     return out;
   }
-  json operator()(const Refuse& a) const {
+  json operator()(const Reject& a) const {
     json out = Begin(instance, "Shed");
     out["Corr"] = a.id;
     if (a.retry_after.count() > 0) out["HoldOff"] = a.retry_after.count();
--- a/src/statistics/core.h
+++ b/src/statistics/core.h
@@ -30,7 +30,7 @@
   std::shared_ptr<const ClassSettings> rules;
   std::string customer;
   double units = 1.0, weight = 1.0;
-  TimePoint deadline{0}, aim_at{0};
+  TimePoint deadline{0}, objective_at{0};
   Stage stage = Stage::kAsking;
   Grant grant = Grant::kNone;
   bool retry = false;   // a client's repeat: part of its aim is gone
@@ -50,7 +50,7 @@
 struct Core {
   Settings set{};
   std::vector<std::shared_ptr<const ClassSettings>> rules{};  // those of `set`, for requests to hold
-  Duration max_aim{0};
+  Duration longest_objective{0};
   std::uint64_t random = 0;
   TimePoint now{0}, start{0};
   TimePoint stall_end{0};  // when this gateway last found that it had stood still
@@ -62,7 +62,11 @@
 class Part {
  protected:
   explicit Part(Core& core)
-      : core_(core), set_(core.set), max_aim_(core.max_aim), now_(core.now), requests_(core.requests) {}
+      : core_(core),
+        set_(core.set),
+        longest_objective_(core.longest_objective),
+        now_(core.now),
+        requests_(core.requests) {}
   void Do(Action action) { core_.out->push_back(std::move(action)); }
   double Random() {
     core_.random = Mix(core_.random);
@@ -70,14 +74,15 @@
   }
 
   [[nodiscard]] const ClassSettings& Cls(const RequestState& r) const {
-    static const ClassSettings kUnknown{"", Duration(1), Duration(1), Repeat::kUnsafe};
+    static const ClassSettings kUnknown{"", Duration(1), Duration(1), RetrySafety::kNotIdempotent};
     return r.rules == nullptr ? kUnknown : *r.rules;
   }
   // Until when what may have run before is still known as the same; the deadline where nothing may have.
   [[nodiscard]] TimePoint RepeatUntil(const RequestState& r) const {
     TimePoint out = r.pin && r.pin->may_have_run ? std::min(r.deadline, r.key_until) : r.deadline;
     for (const Attempt& a : r.attempts) {
-      if (a.may_have_run && Cls(r).repeat == Repeat::kKeyed) out = std::min(out, a.sent + Cls(r).key_ttl);
+      if (a.may_have_run && Cls(r).retry_safety == RetrySafety::kIdempotencyKey)
+        out = std::min(out, a.sent + Cls(r).key_ttl);
     }
     return out;
   }
@@ -88,7 +93,7 @@
 
   Core& core_;
   const Settings& set_;
-  const Duration& max_aim_;
+  const Duration& longest_objective_;
   const TimePoint& now_;
   std::unordered_map<RequestId, RequestState>& requests_;
 };
--- a/src/statistics/load_statistics.h
+++ b/src/statistics/load_statistics.h
@@ -127,7 +127,7 @@
     const bool good = !shedding && latency < kGoodLatency * base_latency_;
     if (good) usual_out_ += (busy_.sum / MemoryS() - usual_out_) * kUsualOut;
     base_latency_ += (latency - base_latency_) * (latency < base_latency_ ? kBaseDown : kBaseUp);
-    base_latency_ = std::min(base_latency_, kBaseMost * Seconds(max_aim_));
+    base_latency_ = std::min(base_latency_, kBaseMost * Seconds(longest_objective_));
   }
   // Whether this gateway has fewer attempts out than `share` of what it has in good times.
   bool OutBelow(double share) { return busy_.sum < share * usual_out_ * MemoryS(); }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -48,7 +48,7 @@
   CHECK(config.seed == 0x8c1f30d27a5be964);
   CHECK(config.sockets == 256);
   CHECK(config.upstream_idle == std::chrono::seconds(7));
-  CHECK(config.max_open == 20'000);
+  CHECK(config.max_in_flight == 20'000);
   REQUIRE(config.known.entries.size() == 1);
   CHECK(config.known.index == 41);
   CHECK(config.known.entries[0].upstream.started == std::chrono::milliseconds(7));
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -27,13 +27,13 @@
     ClassSettings safe, unsafe, keyed;
     safe.name = "safe";
     unsafe.name = "unsafe";
-    unsafe.repeat = Repeat::kUnsafe;
+    unsafe.retry_safety = RetrySafety::kNotIdempotent;
     keyed.name = "keyed";
-    keyed.repeat = Repeat::kKeyed;
-    keyed.scope = Scope::kZone;
+    keyed.retry_safety = RetrySafety::kIdempotencyKey;
+    keyed.scope = KeyScope::kZone;
     keyed.key_ttl = seconds(1);
     for (ClassSettings* c : {&safe, &unsafe, &keyed}) {
-      c->aim = milliseconds(800);
+      c->latency_objective = milliseconds(800);
       c->deadline = seconds(2);
       s.classes.push_back(*c);
     }
@@ -53,8 +53,8 @@
     s.can_cancel = true;
     s.retry_after = true;
     s.max_retry_after = seconds(5);
-    s.warm_within = seconds(10);
-    s.cold_share = 0.2;
+    s.slow_start_duration = seconds(10);
+    s.cold_capacity = 0.2;
     return s;
   }
 
@@ -86,7 +86,7 @@
         asks.push_back(*add);
       } else if (const auto* send = std::get_if<Send>(&action)) {
         sends.push_back(*send);
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         refused.push_back(*refuse);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         failed.push_back(*fail);
@@ -150,7 +150,7 @@
   std::vector<CounterAdd> asks;
   std::size_t answered = 0;
   std::vector<Send> sends;
-  std::vector<Refuse> refused;
+  std::vector<Reject> refused;
   std::vector<Fail> failed;
   std::vector<Cancel> cancelled;
   Controller& control() { return control_; }
@@ -326,7 +326,7 @@
 // What earns beyond a quota takes nothing from the store, so there is nothing to settle.
 TEST(Quota, WhatWasSentBeyondTheQuotaIsNotSettled) {
   Settings settings = Gateway::Plain();
-  settings.plans[0].excess_worth = 0.3;
+  settings.plans[0].over_quota_weight = 0.3;
   Gateway g(settings);
   g.Ask(1, 1);
   g.Answer(40);
@@ -339,7 +339,7 @@
 // Whichever answers of a request tell its true units, they are settled once.
 TEST(Quota, TrueUnitsAreSettledOnceWhateverAnswersTellThem) {
   Settings settings = Gateway::Plain();
-  settings.second_copies = true;
+  settings.hedging_allowed = true;
   settings.can_cancel = false;
   Gateway g(settings);
   for (RequestId id = 1; id <= 200; ++id) {  // plain service of 50 ms
@@ -545,7 +545,7 @@
 TEST(Rules, AnUnsafeRequestStaysWithASilentServer) {
   for (const bool copies : {true, false}) {
     Settings settings = Gateway::Plain();
-    settings.second_copies = copies;
+    settings.hedging_allowed = copies;
     settings.plans[0].rate = 0;
     settings.classes[1].key_ttl = seconds(60);  // means nothing where nobody drops repeats
     Gateway g(settings);
@@ -752,7 +752,7 @@
   Gateway g;
   g.Ask(1, 1, "unsafe");
   g.Answer(1);
-  g.End(0, Outcome::kFull);
+  g.End(0, Outcome::kRejected);
   ASSERT_EQ(g.sends.size(), 2U);
   EXPECT_NE(g.sends[0].server, g.sends[1].server);
 }
@@ -789,7 +789,7 @@
   g.Answer(1);
   g.Answer(2);
   Settings next = Gateway::Plain();
-  next.classes[0].repeat = Repeat::kUnsafe;
+  next.classes[0].retry_safety = RetrySafety::kNotIdempotent;
   next.classes[1] = ClassSettings{};  // a place that has no class
   next.max_attempts = 1;
   g.control().Reconfigure(next);
@@ -801,7 +801,7 @@
   g.Ask(3, 1, "safe");
   g.Answer(3);
   ASSERT_EQ(g.sends.size(), 4U);
-  g.End(3, Outcome::kFull);  // the new settings allow no second attempt
+  g.End(3, Outcome::kRejected);  // the new settings allow no second attempt
   EXPECT_EQ(g.sends.size(), 4U);
 }
 
@@ -827,7 +827,7 @@
     settings.group_size = gateways;
     settings.has_counter = false;
     settings.plans[0].rate = 0;
-    settings.fall_multiple = 3;
+    settings.overload_multiple = 3;
     const int servers = 20, requests = 12000;
     std::size_t cold = 0;
     for (int i = 0; i < gateways; ++i) {
@@ -872,10 +872,10 @@
         settings.group_size = gateways;
         settings.has_counter = false;
         settings.plans[0].rate = 0;
-        settings.fall_multiple = fall.multiple;
-        settings.cold_share = fall.cold;
-        settings.fall_window = fall.window;
-        settings.warm_within = fall.warm;
+        settings.overload_multiple = fall.multiple;
+        settings.cold_capacity = fall.cold;
+        settings.overload_window = fall.window;
+        settings.slow_start_duration = fall.warm;
         const TimePoint start = seconds(1000);
         std::vector<TimePoint> came;  // at the first cold server
         std::mt19937 random(static_cast<unsigned>(gateways) * 7 + static_cast<unsigned>(cold_servers));
@@ -936,7 +936,7 @@
   Settings settings = Gateway::Plain();
   settings.has_counter = false;
   settings.plans[0].rate = 0;
-  settings.fall_multiple = 3;
+  settings.overload_multiple = 3;
   Gateway g(settings);
   auto rows = std::make_shared<std::vector<ServerInfo>>();
   for (int n = 0; n < 20; ++n) {
@@ -997,7 +997,7 @@
 TEST(Overload, EndsWhenServersAreIdleThoughOnlyLongRequestsGetThrough) {
   Settings settings = Gateway::Plain();
   settings.plans[0].rate = 0;
-  settings.classes[2].worth = 3;
+  settings.classes[2].priority_weight = 3;
   for (ClassSettings& cls : settings.classes) cls.deadline = seconds(8);
   Gateway g(settings);
   Serving serving;
@@ -1133,7 +1133,7 @@
 TEST_P(SlowOnce, IsAskedAgainAfterAWhile) {
   Settings settings = Gateway::Plain();
   settings.plans[0].rate = 0;
-  settings.classes[0].aim = seconds(10);
+  settings.classes[0].latency_objective = seconds(10);
   Gateway g(settings);
   g.Servers({{"s1", GetParam()}, {"s2", "a"}});
   RequestId id = 0;
@@ -1165,7 +1165,7 @@
   for (const bool queue : {false, true}) {
     Settings settings = Gateway::Plain();
     settings.plans[0].rate = 0;
-    settings.second_copies = true;
+    settings.hedging_allowed = true;
     Gateway g(settings);
     for (RequestId id = 1; id <= 200; ++id) {  // plain service of 50 ms
       g.Ask(id, 0);
@@ -1324,14 +1324,14 @@
       g.Ask(1, 1, cls);
       g.End(0, Outcome::kError);
       EXPECT_EQ(g.refused.size() + g.failed.size(), 1U);
-      for (const Refuse& refuse : g.refused)
+      for (const Reject& refuse : g.refused)
         EXPECT_GT(refuse.retry_after, Duration(0));  // told when to return
     }
   }
   {  // the cap on attempts open at once
     Settings settings = Gateway::Plain();
     settings.plans[0].rate = 0;
-    settings.plans[0].max_open = 2;
+    settings.plans[0].max_concurrent = 2;
     Gateway g(settings);
     g.Ask(1, 1);
     g.Ask(2, 1);
--- a/tests/fleet/habit_client.cpp
+++ b/tests/fleet/habit_client.cpp
@@ -29,11 +29,11 @@
 
 const char* ClassName(RequestClass request_class) {
   switch (request_class) {
-    case RequestClass::kSafe:
+    case RequestClass::kIdempotent:
       return "read";
-    case RequestClass::kKeyed:
+    case RequestClass::kIdempotencyKey:
       return "move";
-    case RequestClass::kUnsafe:
+    case RequestClass::kNotIdempotent:
       return "order";
   }
   return "";
@@ -187,11 +187,11 @@
                        ",first=" + std::to_string(target_.gateway);
   const std::string customer = Hex(random_() % kCustomers + 1);
   std::string out;
-  if (request_class == RequestClass::kSafe) {
+  if (request_class == RequestClass::kIdempotent) {
     resp::AppendCommand({"API.READ", customer, request_id_, extras}, out);
     return out;
   }
-  if (request_class == RequestClass::kKeyed) {
+  if (request_class == RequestClass::kIdempotencyKey) {
     record.key = Hex(random_());
     extras += ",k=" + record.key;
   }
--- a/tests/fleet/habit_client.h
+++ b/tests/fleet/habit_client.h
@@ -37,12 +37,12 @@
 const char* Name(Habit habit);
 
 // By what the class allows to be sent again.
-enum class RequestClass { kSafe, kKeyed, kUnsafe };
+enum class RequestClass { kIdempotent, kIdempotencyKey, kNotIdempotent };
 
 enum class RequestEnd { kPending, kServed, kRefused, kFailed, kConnectionEnded };
 
 struct RequestRecord {
-  RequestClass request_class = RequestClass::kSafe;
+  RequestClass request_class = RequestClass::kIdempotent;
   Habit habit = Habit::kResting;
   int gateway = 0;
   std::string key;            // of a keyed request
@@ -84,7 +84,7 @@
     int port = 0;
     int spread = 1;
     std::chrono::milliseconds deadline{2'500};
-    std::vector<RequestClass> classes{RequestClass::kSafe};  // drawn from evenly
+    std::vector<RequestClass> classes{RequestClass::kIdempotent};  // drawn from evenly
   };
   HabitClient(event_base* base, RequestLedger& ledger, Target target, Habit habit, std::uint64_t seed);
   ~HabitClient();
--- a/tests/fleet/habit_site.h
+++ b/tests/fleet/habit_site.h
@@ -42,7 +42,8 @@
       for (int i = 0; i < each; ++i) {
         HabitClient::Target target{.port = rig.port(0), .deadline = deadline};
         if (all_classes && habit != Habit::kSlowReader) {
-          target.classes = {RequestClass::kSafe, RequestClass::kKeyed, RequestClass::kUnsafe};
+          target.classes = {RequestClass::kIdempotent, RequestClass::kIdempotencyKey,
+                            RequestClass::kNotIdempotent};
         }
         clients.push_back(
             std::make_unique<HabitClient>(rig.base(), ledger, target, habit, clients.size() + 1));
@@ -132,7 +133,7 @@
   // No unsafe request came to a node twice, and no keyed change was made twice.
   void CheckRunOnce() {
     for (const auto& [id, record] : ledger.records()) {
-      if (record.request_class == RequestClass::kUnsafe) CHECK(record.attempts <= 1);
+      if (record.request_class == RequestClass::kNotIdempotent) CHECK(record.attempts <= 1);
     }
     for (const auto& [key, times] : rig.nodes().applied) CHECK(times <= 1);
   }
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -21,7 +21,7 @@
   Settings out;
   ClassSettings read;
   read.name = "lookup";
-  read.aim = seconds(1);
+  read.latency_objective = seconds(1);
   read.deadline = seconds(3);
   out.classes = {read};
   PlanSettings plan;
@@ -33,7 +33,7 @@
   out.max_units = 4;
   out.max_attempts = 4;
   out.can_cancel = true;
-  out.second_copies = true;
+  out.hedging_allowed = true;
   out.retry_after = true;
   out.max_retry_after = seconds(1);
   return out;
@@ -119,8 +119,8 @@
 TEST_CASE("where the counter is crowded, what one gatekeeper learns of a firm guides the others") {
   Settings settings = Site(true);
   settings.group_size = 100;
-  settings.can_tell = true;
-  settings.mail_per_s = 40;
+  settings.can_message_peers = true;
+  settings.peer_messages_per_second = 40;
   Clock::time_point now{seconds(50)};
   EndpointListReport endpoint_list;
   endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"}};
@@ -146,10 +146,10 @@
 
 TEST_CASE("who leaves by the view of the fleet is no witness from then on, and who comes back is one again") {
   Settings settings = Site(false);
-  settings.classes[0].repeat = Repeat::kKeyed;
-  settings.classes[0].scope = Scope::kCell;
+  settings.classes[0].retry_safety = RetrySafety::kIdempotencyKey;
+  settings.classes[0].scope = KeyScope::kCell;
   settings.classes[0].key_ttl = seconds(15);
-  settings.can_tell = true;
+  settings.can_message_peers = true;
   settings.group_size = 2;
   Clock::time_point now{seconds(50)};
   const auto start = [&](int rank, seconds wall) {
@@ -351,14 +351,14 @@
 // clock.
 int SentToRestarted(std::chrono::microseconds off) {
   Settings settings = Site(false);
-  settings.cold_share = 0.1;
-  settings.warm_within = seconds(60);
-  settings.fall_multiple = 2;
-  settings.fall_window = seconds(2);
+  settings.cold_capacity = 0.1;
+  settings.slow_start_duration = seconds(60);
+  settings.overload_multiple = 2;
+  settings.overload_window = seconds(2);
   Clock::time_point now{seconds(50)};
   const seconds wall(1'000'000);
   Planner planner(settings, 1, wall, now);
-  EndpointListReport endpoint_list{.scope = EndpointUpdateKind::kFull, .index = 1, .upstreams = {}};
+  EndpointListReport endpoint_list{.scope = EndpointUpdateKind::kSnapshot, .index = 1, .upstreams = {}};
   endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"},
                              {.name = "b", .zone = "z", .kind = "k"}};
   planner.Report(endpoint_list, now);
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -31,7 +31,7 @@
     for (const microseconds off : {step, -step}) {
       StartTimes starts;
       const auto before = kNow + seconds(10), after = kNow + seconds(12), started = kNow + seconds(11);
-      Told(starts, EndpointUpdateKind::kFull, milliseconds(0), before);
+      Told(starts, EndpointUpdateKind::kSnapshot, milliseconds(0), before);
       const milliseconds told = std::chrono::duration_cast<milliseconds>(started + off);
       const microseconds estimate = Told(starts, EndpointUpdateKind::kChanges, told, after);
       INFO("off by " << off.count());
@@ -39,7 +39,7 @@
       CHECK(estimate <= after);
       if (off == microseconds(0)) CHECK(estimate == started);
       // Told again it is the same start, and no restart.
-      CHECK(Told(starts, EndpointUpdateKind::kFull, told, after + minutes(1)) == estimate);
+      CHECK(Told(starts, EndpointUpdateKind::kSnapshot, told, after + minutes(1)) == estimate);
     }
   }
 }
@@ -47,14 +47,14 @@
 TEST_CASE("the first list is believed, but for starts in the future") {
   StartTimes starts;
   CHECK(Told(starts, EndpointUpdateKind::kRemembered, milliseconds(0), kNow) == microseconds(0));
-  CHECK(Told(starts, EndpointUpdateKind::kFull, kNow - seconds(30), kNow) == kNow - seconds(30));
+  CHECK(Told(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow) == kNow - seconds(30));
   StartTimes others;
-  CHECK(Told(others, EndpointUpdateKind::kFull, kNow + hours(1), kNow) == kNow);
+  CHECK(Told(others, EndpointUpdateKind::kSnapshot, kNow + hours(1), kNow) == kNow);
 }
 
 TEST_CASE("a next hop that is gone and listed again with the same start has not started again") {
   StartTimes starts;
-  const microseconds first = Told(starts, EndpointUpdateKind::kFull, kNow - seconds(30), kNow);
+  const microseconds first = Told(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow);
   EndpointListReport gone = List(EndpointUpdateKind::kChanges, kNow - seconds(30), UpstreamState::kGone);
   starts.Apply(gone, kNow + seconds(1));
   CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - seconds(30), kNow + seconds(60)) == first);
@@ -65,7 +65,7 @@
 
 TEST_CASE("a list that comes late tells a start from before the last one") {
   StartTimes starts;
-  Told(starts, EndpointUpdateKind::kFull, milliseconds(0), kNow);
+  Told(starts, EndpointUpdateKind::kSnapshot, milliseconds(0), kNow);
   CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - seconds(4), kNow + seconds(1)) == kNow);
 }
 
--- a/tests/safety/rules_test.cpp
+++ b/tests/safety/rules_test.cpp
@@ -40,11 +40,12 @@
 TEST_CASE("what may run once only is sent again only where nothing is out and nothing may have run") {
   const std::vector<EarlierAttempt> never_ran{{}, {}}, out{{}, {.out = true}},
       ran{{.may_have_run = true}, {}};
-  CHECK_FALSE(MayRepeat(Repeat::kUnsafe, {}));
-  CHECK_FALSE(MayRepeat(Repeat::kUnsafe, never_ran));
-  CHECK(MayRepeat(Repeat::kUnsafe, out) == Rule::kRunsOnce);
-  CHECK(MayRepeat(Repeat::kUnsafe, ran) == Rule::kRunsOnce);
-  for (const Repeat effect : {Repeat::kSafe, Repeat::kKeyed}) CHECK_FALSE(MayRepeat(effect, ran));
+  CHECK_FALSE(MayRetry(RetrySafety::kNotIdempotent, {}));
+  CHECK_FALSE(MayRetry(RetrySafety::kNotIdempotent, never_ran));
+  CHECK(MayRetry(RetrySafety::kNotIdempotent, out) == Rule::kRunsOnce);
+  CHECK(MayRetry(RetrySafety::kNotIdempotent, ran) == Rule::kRunsOnce);
+  for (const RetrySafety effect : {RetrySafety::kIdempotent, RetrySafety::kIdempotencyKey})
+    CHECK_FALSE(MayRetry(effect, ran));
 }
 
 TEST_CASE("a connection is shut only with nothing owed, and closed of our own accord only between requests") {
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -82,8 +82,8 @@
       R"("Effect":"keyed","DedupScope":"zone","KeyTtl":3}],"Contracts":[{"Name":"p","PerSecond":2,"Depth":8,)"
       R"("CapRate":4,"HardBurst":16,"CeilingSlack":2}],"Domain":{"SharedCounter":true,"CountLimit":30000},)"
       R"("MembershipMode":"subscribe","Safety":{"DrainGrace":7}}})"));
-  EXPECT_EQ(start.settings.classes.at(0).repeat, Repeat::kKeyed);
-  EXPECT_EQ(start.settings.classes.at(0).scope, Scope::kZone);
+  EXPECT_EQ(start.settings.classes.at(0).retry_safety, RetrySafety::kIdempotencyKey);
+  EXPECT_EQ(start.settings.classes.at(0).scope, KeyScope::kZone);
   EXPECT_DOUBLE_EQ(start.settings.plans.at(0).ceiling_burst, 16);
   EXPECT_TRUE(start.settings.has_counter);
   EXPECT_EQ(start.settings.discovery_mode, DiscoveryMode::kSubscribe);
@@ -107,8 +107,8 @@
 TEST(Wire, WritesActions) {
   EXPECT_EQ(Encode(3, Send{7, "b", Duration(80000)}),
             R"({"Backend":"b","Corr":7,"I":3,"Limit":80000,"event_type":"CallOut"})");
-  EXPECT_EQ(Encode(3, Refuse{7, Duration(0)}), R"({"Corr":7,"I":3,"event_type":"Shed"})");
-  EXPECT_EQ(Encode(3, Refuse{7, Duration(5)}), R"({"Corr":7,"HoldOff":5,"I":3,"event_type":"Shed"})");
+  EXPECT_EQ(Encode(3, Reject{7, Duration(0)}), R"({"Corr":7,"I":3,"event_type":"Shed"})");
+  EXPECT_EQ(Encode(3, Reject{7, Duration(5)}), R"({"Corr":7,"HoldOff":5,"I":3,"event_type":"Shed"})");
   EXPECT_EQ(Encode(3, Fail{7}), R"({"Corr":7,"I":3,"event_type":"GiveUp"})");
   EXPECT_EQ(Encode(3, Cancel{7, 2}), R"({"Corr":7,"I":3,"Try":2,"event_type":"Revoke"})");
   EXPECT_EQ(Encode(3, CounterAdd{"k", -1.5, Duration(9)}),
