--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,36 +7,48 @@
 #include <limits>
 #include <sstream>
 
+#include "config/json_reader.h"
+#include "config/settings.h"
 #include "config/sockets.h"
-#include "json_read.h"
-#include "settings.h"
 
 namespace postspread::config {
 namespace {
 
-using namespace json_read;
+using namespace json_reader;
+
+// Room for the program, one body of 4 MB with its copy, and a busy second.
+constexpr std::int64_t kMinMemoryMb = 16;
+constexpr std::int64_t kDefaultMemoryMb = 192;
+constexpr std::int64_t kDefaultSockets = 1'024;
+constexpr std::chrono::microseconds kDefaultUpstreamIdle = std::chrono::seconds(30);
+constexpr std::int64_t kDefaultMaxInFlight = 20'000;
 
-constexpr std::int64_t kLeastMemoryMb =
-    16;  // the program itself, one body of 4 MB and its copy, and a busy second
-constexpr std::chrono::seconds kDefaultUpstreamIdle{30};
-constexpr std::int64_t kUsualMaxOpen = 20'000;
 // Members of the configuration that this program reads, or that its pages allow without a use here.
 constexpr std::string_view kKnownKeys[] = {"counter", "discovery", "known", "limits",
                                            "listen",  "name",      "ops",   "peer_listen",
                                            "peers",   "peers_all", "seed",  "settings"};
 
-// Runs `read` and puts `where` before what it has to say.
-template <typename F>
-auto Within(const char* where, F read) {
+// Runs `decode`; an error of a member gets the name of the object that holds it.
+template <typename Decode>
+auto Within(const char* object, Decode decode) {
   try {
-    return read();
+    return decode();
   } catch (const JsonError& error) {
-    throw ConfigError(std::string(where) + ": " + error.what());
+    throw ConfigError(std::string(object) + ": " + error.what());
   }
 }
 
-std::string Choose(const json& from, const char* key, const Environment& environment, const char* variable) {
-  if (const char* value = environment(variable); value != nullptr && *value != '\0') return value;
+// A variable of the environment; nothing where it is absent or empty.
+std::optional<std::string> Variable(const Environment& environment, const char* name) {
+  const char* value = environment(name);
+  if (value == nullptr || *value == '\0') return std::nullopt;
+  return value;
+}
+
+// The variable, or the file's member where there is no such variable.
+std::string VariableOrMember(const json& from, const char* key, const Environment& environment,
+                             const char* variable) {
+  if (std::optional<std::string> value = Variable(environment, variable)) return *std::move(value);
   return TextOr(from, key);
 }
 
@@ -51,34 +63,46 @@
   const std::string text = TextOr(from, "seed", "0");
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (error != std::errc() || end != text.data() + text.size()) Bad("member \"seed\" is not a hex number");
+  if (error != std::errc() || end != text.data() + text.size())
+    ThrowJsonError("member \"seed\" is not a hex number");
   return seed;
 }
 
-std::int64_t Limit(const json& limits, const char* key, std::int64_t least, std::int64_t absent) {
-  const std::int64_t value = IntegerOr(limits, key, absent);
-  if (value < least) Bad(std::string("member \"") + key + "\" is below " + std::to_string(least));
+// A limit that is at least `min`.
+std::int64_t LimitOr(const json& limits, const char* key, std::int64_t min, std::int64_t fallback) {
+  const std::int64_t value = IntegerOr(limits, key, fallback);
+  if (value < min) ThrowJsonError(std::string("member \"") + key + "\" is below " + std::to_string(min));
   return value;
 }
 
-void Keys(const json& from, const std::string& path, std::vector<std::string>& out) {
-  if (from.is_object()) {
-    for (const auto& [key, value] : from.items()) {
-      if (value.is_null()) continue;
-      const std::string at = path.empty() ? key : path + "." + key;
-      out.push_back(at);
-      if (at != "known") Keys(value, at, out);
-    }
-  } else if (from.is_array() && !from.empty()) {
-    std::vector<std::string> all;
-    for (std::size_t i = 0; i < from.size(); ++i) {
-      std::vector<std::string> own, both;
-      Keys(from[i], path + "[]", own);
-      std::sort(own.begin(), own.end());
-      std::set_intersection(all.begin(), all.end(), own.begin(), own.end(), std::back_inserter(both));
-      all = i == 0 ? std::move(own) : std::move(both);
+void CollectKeys(const json& from, const std::string& path, std::vector<std::string>& out);
+
+// The keys that all elements have in common.
+void CollectCommonKeys(const json& elements, const std::string& path, std::vector<std::string>& out) {
+  std::vector<std::string> common;
+  for (std::size_t i = 0; i < elements.size(); ++i) {
+    std::vector<std::string> own;
+    CollectKeys(elements[i], path + "[]", own);
+    std::sort(own.begin(), own.end());
+    if (i == 0) {
+      common = std::move(own);
+      continue;
     }
-    out.insert(out.end(), all.begin(), all.end());
+    std::vector<std::string> both;
+    std::set_intersection(common.begin(), common.end(), own.begin(), own.end(), std::back_inserter(both));
+    common = std::move(both);
+  }
+  out.insert(out.end(), common.begin(), common.end());
+}
+
+void CollectKeys(const json& from, const std::string& path, std::vector<std::string>& out) {
+  if (from.is_array()) return CollectCommonKeys(from, path, out);
+  if (!from.is_object()) return;
+  for (const auto& [key, value] : from.items()) {
+    if (value.is_null()) continue;
+    const std::string full_name = path.empty() ? key : path + "." + key;
+    out.push_back(full_name);
+    if (full_name != "known") CollectKeys(value, full_name, out);
   }
 }
 
@@ -91,67 +115,98 @@
   return out;
 }
 
+std::optional<int> InheritedSocket(const Environment& environment) {
+  const std::optional<std::string> digits = Variable(environment, "ROUTER_FD");
+  if (!digits) return std::nullopt;
+  int number = -1;
+  const char* const digits_end = digits->data() + digits->size();
+  const auto [end, error] = std::from_chars(digits->data(), digits_end, number);
+  if (error != std::errc() || end != digits_end || number < 0) {
+    throw ConfigError("ROUTER_FD is not the number of a descriptor: \"" + *digits + "\"");
+  }
+  return number;
+}
+
+// Names and addresses that a variable may override.
+void DecodeAddresses(const json& from, const Environment& environment, Discovery discovery, Config& out) {
+  out.name = VariableOrMember(from, "name", environment, "ROUTER_NAME");
+  if (out.name.empty()) throw ConfigError("\"name\" is missing");
+  out.listen = ToAddress(VariableOrMember(from, "listen", environment, "ROUTER_LISTEN"), "listen");
+  const bool file_wins = discovery == Discovery::kFromFile && !TextOr(from, "discovery").empty();
+  out.discovery = ToAddress(file_wins ? TextOr(from, "discovery")
+                                      : VariableOrMember(from, "discovery", environment, "ROUTER_DISCOVERY"),
+                            "discovery");
+  const std::string ops = VariableOrMember(from, "ops", environment, "ROUTER_OPS");
+  if (!ops.empty()) out.ops = ToAddress(ops, "ops");
+  out.inherited = InheritedSocket(environment);
+}
+
+// Kept as given: ToPeers checks them where a subsystem needs them.
+void DecodePeers(const json& from, Config& out) {
+  if (const json* listen = Find(from, "peer_listen"); listen != nullptr && listen->is_string()) {
+    out.peer_listen = listen->get<std::string>();
+  }
+  if (const json* peers = Find(from, "peers"); peers != nullptr && peers->is_array()) {
+    for (const json& peer : *peers) out.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
+  }
+  out.peers_all = TextOr(from, "peers_all");
+}
+
+void DecodeProcessLimits(const json& limits, Config& out) {
+  out.memory_mb = static_cast<std::size_t>(LimitOr(limits, "memory_mb", kMinMemoryMb, kDefaultMemoryMb));
+  const auto min_sockets =
+      static_cast<std::int64_t>(LeastSockets(out.ops.has_value(), out.inherited.has_value()));
+  out.sockets = static_cast<std::size_t>(LimitOr(limits, "sockets", min_sockets, kDefaultSockets));
+}
+
+// Of the settings' limits, the two that concern connections and memory rather than decisions.
+void DecodeConnectionLimits(const json& limits, Config& out) {
+  out.upstream_idle = std::chrono::microseconds(LimitOr(limits, "ConnIdle", 1, kDefaultUpstreamIdle.count()));
+  out.max_in_flight = static_cast<std::size_t>(LimitOr(limits, "MaxOpen", 1, kDefaultMaxInFlight));
+}
+
+void DecodeDeploymentSettings(const json& from, Config& out) {
+  const json& settings = Require(from, "settings");
+  out.settings = Within("settings", [&] { return DecodeSettings(settings); });
+  Within("settings.Limits", [&] { DecodeConnectionLimits(ObjectOr(settings, "Limits"), out); });
+  if (out.settings.classes.empty()) throw ConfigError("settings: member \"Classes\" is empty");
+  if (out.settings.plans.empty()) throw ConfigError("settings: member \"Contracts\" is empty");
+}
+
+Config DecodeObject(const json& from, const Environment& environment, Discovery discovery) {
+  Config out;
+  DecodeAddresses(from, environment, discovery, out);
+  out.seed = ToSeed(from);
+  DecodePeers(from, out);
+  const json& limits = ObjectOr(from, "limits");
+  Within("limits", [&] { DecodeProcessLimits(limits, out); });
+  if (Find(from, "known") != nullptr) {
+    out.known = Within("known", [&] { return DecodeEndpointList(from["known"]); });
+  }
+  DecodeDeploymentSettings(from, out);
+  out.unknown_keys = UnknownKeys(from);
+  CollectKeys(from, "", out.keys);
+  std::sort(out.keys.begin(), out.keys.end());
+  if (out.settings.has_counter) out.counter = ToAddress(TextOr(from, "counter"), "counter");
+  return out;
+}
+
+std::string ReadFile(const Environment& environment) {
+  const std::optional<std::string> path = Variable(environment, "ROUTER_CONFIG");
+  if (!path) throw ConfigError("ROUTER_CONFIG is not set");
+  std::ifstream file(*path);
+  std::ostringstream text;
+  text << file.rdbuf();
+  if (!file) throw ConfigError("ROUTER_CONFIG: can't read " + *path);
+  return text.str();
+}
+
 }  // namespace
 
 Config Decode(std::string_view text, const Environment& environment, Discovery discovery) {
   const json from = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (from.is_discarded() || !from.is_object()) throw ConfigError("the configuration is not a JSON object");
-  return Within("configuration", [&] {
-    Config out;
-    out.name = Choose(from, "name", environment, "ROUTER_NAME");
-    if (out.name.empty()) throw ConfigError("\"name\" is missing");
-    out.listen = ToAddress(Choose(from, "listen", environment, "ROUTER_LISTEN"), "listen");
-    const bool file_wins = discovery == Discovery::kFromFile && !TextOr(from, "discovery").empty();
-    out.discovery = ToAddress(
-        file_wins ? TextOr(from, "discovery") : Choose(from, "discovery", environment, "ROUTER_DISCOVERY"),
-        "discovery");
-    if (const std::string ops = Choose(from, "ops", environment, "ROUTER_OPS"); !ops.empty()) {
-      out.ops = ToAddress(ops, "ops");
-    }
-    if (const char* fd = environment("ROUTER_FD"); fd != nullptr && *fd != '\0') {
-      const std::string_view digits(fd);
-      int number = -1;
-      const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
-      if (error != std::errc() || end != digits.data() + digits.size() || number < 0) {
-        throw ConfigError("ROUTER_FD is not the number of a descriptor: \"" + std::string(digits) + "\"");
-      }
-      out.inherited = number;
-    }
-    out.seed = ToSeed(from);
-    if (const json* listen = Find(from, "peer_listen"); listen != nullptr && listen->is_string()) {
-      out.peer_listen = listen->get<std::string>();
-    }
-    if (const json* peers = Find(from, "peers"); peers != nullptr && peers->is_array()) {
-      for (const json& peer : *peers) out.peers.push_back(peer.is_string() ? peer.get<std::string>() : "");
-    }
-    out.peers_all = TextOr(from, "peers_all");
-    const json& limits = Part(from, "limits");
-    Within("limits", [&] {
-      out.memory_mb = static_cast<std::size_t>(Limit(limits, "memory_mb", kLeastMemoryMb, 192));
-      const auto least =
-          static_cast<std::int64_t>(LeastSockets(out.ops.has_value(), out.inherited.has_value()));
-      out.sockets = static_cast<std::size_t>(Limit(limits, "sockets", least, 1024));
-      return 0;
-    });
-    if (Find(from, "known") != nullptr)
-      out.known = Within("known", [&] { return DecodeEndpointList(from["known"]); });
-    const json& settings = Need(from, "settings");
-    out.settings = Within("settings", [&] { return DecodeSettings(settings); });
-    Within("settings.Limits", [&] {
-      const json& own = Part(settings, "Limits");
-      out.upstream_idle = std::chrono::microseconds(
-          Limit(own, "ConnIdle", 1, std::chrono::microseconds(kDefaultUpstreamIdle).count()));
-      out.max_in_flight = static_cast<std::size_t>(Limit(own, "MaxOpen", 1, kUsualMaxOpen));
-      return 0;
-    });
-    if (out.settings.classes.empty()) throw ConfigError("settings: member \"Classes\" is empty");
-    if (out.settings.plans.empty()) throw ConfigError("settings: member \"Contracts\" is empty");
-    out.unknown_keys = UnknownKeys(from);
-    Keys(from, "", out.keys);
-    std::sort(out.keys.begin(), out.keys.end());
-    if (out.settings.has_counter) out.counter = ToAddress(TextOr(from, "counter"), "counter");
-    return out;
-  });
+  return Within("configuration", [&] { return DecodeObject(from, environment, discovery); });
 }
 
 std::optional<Peers> ToPeers(const Config& config) {
@@ -167,23 +222,9 @@
   return out;
 }
 
-namespace {
-
-std::string ReadFile(const Environment& environment) {
-  const char* path = environment("ROUTER_CONFIG");
-  if (path == nullptr || *path == '\0') throw ConfigError("ROUTER_CONFIG is not set");
-  std::ifstream file(path);
-  std::ostringstream text;
-  text << file.rdbuf();
-  if (!file) throw ConfigError(std::string("ROUTER_CONFIG: can't read ") + path);
-  return text.str();
-}
-
-}  // namespace
-
 Config Load(const Environment& environment) { return Decode(ReadFile(environment), environment); }
 
-void CheckWhole(const Config& next, const Config& in_force) {
+void CheckComplete(const Config& next, const Config& in_force) {
   std::vector<std::string> missing;
   std::set_difference(in_force.keys.begin(), in_force.keys.end(), next.keys.begin(), next.keys.end(),
                       std::back_inserter(missing));
@@ -192,7 +233,7 @@
 
 Config Reload(const Environment& environment, const Config& in_force) {
   Config out = Decode(ReadFile(environment), environment, Discovery::kFromFile);
-  CheckWhole(out, in_force);
+  CheckComplete(out, in_force);
   return out;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// The one place where configuration is read, checked and given defaults.
+// The platform's configuration: read, checked and given defaults in this one place, from the file that
+// ROUTER_CONFIG names and the variables beside it.
 #ifndef POSTSPREAD_CONFIG_CONFIG_H_
 #define POSTSPREAD_CONFIG_CONFIG_H_
 
@@ -18,35 +19,34 @@
 
 namespace postspread::config {
 
-// What is wrong with the configuration; names the faulty key.
+// The configuration can't be used; the text names the faulty key.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string name;
-  Address listen;
+  std::string name;  // of this gateway, for the log and the membership view
+  Address listen;    // where clients connect
   Address discovery;
-  std::optional<Address> ops;      // where operators call; nothing: no door
-  std::optional<Address> counter;  // nothing: the site has none
-  // As given, for subsystems that talk to the other gateways: ToPeers reads them.
+  std::optional<Address> ops;      // of the admin server; absent: there is none
+  std::optional<Address> counter;  // absent: the deployment has none
+  // As given, for subsystems that talk to the other gateways: ToPeers checks them.
   std::string peer_listen;
   std::vector<std::string> peers;
   std::string peers_all;
-  std::optional<int> inherited;  // the clients' listening socket, open already; nothing: listen by ourselves
-  std::uint64_t seed = 0;
+  std::optional<int> inherited;  // the clients' listening socket, open already; absent: open one
+  std::uint64_t seed = 0;        // of all random draws
   std::size_t memory_mb = 192;
   std::size_t sockets = 1024;
-  EndpointList known;
+  EndpointList known;  // the endpoint list as last cached by the platform
   Settings settings;
-  std::chrono::microseconds upstream_idle{0};  // an upstream closes a connection that stood idle for so long
-  std::size_t max_in_flight = 0;               // requests held at once
+  std::chrono::microseconds upstream_idle{0};  // after which an upstream closes an idle connection
+  std::size_t max_in_flight = 0;               // requests
   // The file's keys, sorted, as "settings.Limits.MostTries"; of a list's elements those that all of them
-  // have, as "settings.Classes[].Aim". Below `known` none are kept.
+  // have, as "settings.Classes[].Aim". Those below `known` are left out.
   std::vector<std::string> keys;
-  // Members of the file's object that nothing here reads, sorted: told in the log, for a key that an operator
-  // believes to be in force.
+  // Members of the file's object that nothing reads, sorted, for a warning in the log.
   std::vector<std::string> unknown_keys;
 };
 
@@ -54,9 +54,9 @@
 struct Peers {
   Address listen;
   std::vector<Address> each;   // by rank, the own one included
-  std::optional<Address> all;  // reaches every other one at once; nothing: each is told by itself
+  std::optional<Address> all;  // broadcast to every other one; absent: each gets its own datagram
 };
-// Nothing where the settings do not allow messages, or the configuration names nobody. Throws ConfigError.
+// Absent where the settings do not allow messages, or the configuration names nobody. Throws ConfigError.
 std::optional<Peers> ToPeers(const Config& config);
 
 using Environment = std::function<const char*(const char* name)>;
@@ -64,15 +64,15 @@
 // Reads ROUTER_CONFIG and the variables beside it; a variable wins over the file's key. Throws ConfigError.
 Config Load(const Environment& environment);
 
-// The same while the program runs: the file has been replaced, and variables are as they were at the start.
-// So the file's `discovery` wins; the rest of the environment still does over the file. A key that the file
-// in force has must be there, also where a default would do at a start: a file without it is not whole.
+// The same for a reload. The file's `discovery` wins over the variable, which is as old as the start; of the
+// other variables each still wins over the file. A key of the file in force has to be there, even one with a
+// default: a file without it may have been cut short.
 Config Reload(const Environment& environment, const Config& in_force);
 
 // Throws ConfigError where `next` lacks a key that `in_force` has.
-void CheckWhole(const Config& next, const Config& in_force);
+void CheckComplete(const Config& next, const Config& in_force);
 
-// Which of the two names discovery, where both do.
+// Which one wins where both name discovery.
 enum class Discovery { kFromVariable, kFromFile };
 
 // The same from the file's text.
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -4,12 +4,12 @@
 #include <optional>
 #include <string>
 
-#include "json_read.h"
+#include "config/json_reader.h"
 
 namespace postspread::config {
 namespace {
 
-using namespace json_read;
+using namespace json_reader;
 
 planner::UpstreamState ToState(const std::string& status) {
   if (status == "Ready") return planner::UpstreamState::kReady;
@@ -30,7 +30,7 @@
   if (const std::optional<Address> parsed = Address::Parse(address)) {
     out.address = *parsed;
   } else if (out.upstream.state != planner::UpstreamState::kGone) {
-    Bad("member \"address\" is not ADDRESS:PORT: \"" + address + "\"");
+    ThrowJsonError("member \"address\" is not ADDRESS:PORT: \"" + address + "\"");
   }
   return out;
 }
@@ -38,10 +38,10 @@
 }  // namespace
 
 EndpointList DecodeEndpointList(const json& from) {
-  if (!from.is_object()) Bad("not a JSON object");
+  if (!from.is_object()) ThrowJsonError("not a JSON object");
   EndpointList out;
   out.index = static_cast<std::uint64_t>(Integer(from, "index", 0, std::numeric_limits<std::int64_t>::max()));
-  out.full = FlagOr(from, "snapshot");
+  out.full = BoolOr(from, "snapshot");
   const json& entries = Array(from, "endpoints");
   out.entries.reserve(entries.size());
   for (const json& entry : entries) out.entries.push_back(DecodeEntry(entry));
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -22,7 +22,7 @@
   std::vector<Endpoint> entries;
 };
 
-// Throws json_read::JsonError, which names the faulty member.
+// Throws json_reader::JsonError, which names the faulty member.
 EndpointList DecodeEndpointList(const nlohmann::json& from);
 
 }  // namespace postspread::config
--- a/src/net/upstream/discovery_watch.cpp
+++ b/src/net/upstream/discovery_watch.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "json_read.h"
+#include "config/json_reader.h"
 #include "net/log.h"
 
 namespace postspread::net {
@@ -71,9 +71,9 @@
   config::EndpointList endpoint_list;
   try {
     const auto body = nlohmann::json::parse(parser_.body(), nullptr, /*allow_exceptions=*/false);
-    if (body.is_discarded()) throw json_read::JsonError("not valid JSON");
+    if (body.is_discarded()) throw json_reader::JsonError("not valid JSON");
     endpoint_list = config::DecodeEndpointList(body);
-  } catch (const json_read::JsonError& error) {
+  } catch (const json_reader::JsonError& error) {
     return Lost(error.what());
   }
   if (std::exchange(failing_, false)) Log("discovery answers again");
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// The adapter: reads the simulator's wire on standard input, hands each instance's events to a Controller of
-// its own, and writes one reply a batch on standard output. It decides nothing.
+// The simulator adapter: reads the simulator's wire on standard input, hands each instance's events to a
+// Controller of its own, and writes one reply a batch on standard output.
 #include <iostream>
 #include <map>
 #include <string>
@@ -16,15 +16,13 @@
 using postspread::TimePoint;
 namespace simulator = postspread::simulator;
 
-class Host {
+// The instances of the simulated fleet, each a Controller of its own, and the reply to the current batch.
+class InstanceHost {
  public:
-  // Takes one message; returns true when a reply is due.
-  bool Take(simulator::Message message) {
+  // Handles one message; returns true when the batch has ended and its reply is due.
+  bool Handle(simulator::Message message) {
     if (const auto* start = std::get_if<simulator::BatchStart>(&message)) {
-      if (in_batch_) throw simulator::WireError("a batch begins inside a batch");
-      if (start->now < now_) throw simulator::WireError("the clock runs backwards");
-      now_ = start->now;
-      in_batch_ = true;
+      StartBatch(*start);
       return false;
     }
     if (!in_batch_) throw simulator::WireError("a line outside a batch");
@@ -37,15 +35,7 @@
     } else if (const auto* stop = std::get_if<simulator::InstanceStop>(&message)) {
       instances_.erase(stop->instance);
     } else if (const auto* event = std::get_if<simulator::InstanceEvent>(&message)) {
-      const auto instance = instances_.find(event->instance);
-      if (instance == instances_.end())
-        throw simulator::WireError("an event for an instance that was not started");
-      actions_.clear();
-      instance->second.Handle(event->event, now_, actions_);
-      for (const Action& action : actions_) {
-        const std::string line = simulator::Encode(event->instance, action);
-        if (!line.empty()) reply_ += line + '\n';
-      }
+      HandleEvent(*event);
     }
     return false;
   }
@@ -59,6 +49,26 @@
   [[nodiscard]] bool in_batch() const { return in_batch_; }
 
  private:
+  void StartBatch(const simulator::BatchStart& start) {
+    if (in_batch_) throw simulator::WireError("a batch begins inside a batch");
+    if (start.now < now_) throw simulator::WireError("the clock runs backwards");
+    now_ = start.now;
+    in_batch_ = true;
+  }
+
+  void HandleEvent(const simulator::InstanceEvent& event) {
+    const auto instance = instances_.find(event.instance);
+    if (instance == instances_.end()) {
+      throw simulator::WireError("an event for an instance that was not started");
+    }
+    actions_.clear();
+    instance->second.Handle(event.event, now_, actions_);
+    for (const Action& action : actions_) {
+      const std::string line = simulator::Encode(event.instance, action);
+      if (!line.empty()) reply_ += line + '\n';
+    }
+  }
+
   std::map<std::int64_t, Controller> instances_;
   std::vector<Action> actions_;
   std::string reply_;
@@ -71,7 +81,7 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  Host host;
+  InstanceHost host;
   simulator::Decoder decoder;
   std::string line;
   long number = 0;
@@ -79,7 +89,7 @@
     while (std::getline(std::cin, line)) {
       ++number;
       if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
-      if (host.Take(decoder.Decode(line))) std::cout << host.TakeReply() << std::flush;
+      if (host.Handle(decoder.Decode(line))) std::cout << host.TakeReply() << std::flush;
     }
     if (host.in_batch()) throw simulator::WireError("the input ends inside a batch");
   } catch (const simulator::WireError& error) {
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,15 +1,17 @@
+// Each Decode function is the table from the themed names of one message to the terms of control.h; each
+// ActionEncoder overload is the way back.
 #include "simulator/wire.h"
 
 #include <charconv>
 #include <limits>
 #include <utility>
 
-#include "settings.h"
+#include "config/settings.h"
 
 namespace postspread::simulator {
 namespace {
 
-using namespace json_read;
+using namespace json_reader;
 
 ServerInfo DecodeServer(const json& from) {
   ServerInfo out;
@@ -17,7 +19,7 @@
   out.zone = TextOr(from, "Campus");
   out.kind = TextOr(from, "Shape");
   out.cell = IntegerOr(from, "Group", 0);
-  out.state = WordOr(from, "Availability", ServerState::kUp,
+  out.state = EnumOr(from, "Availability", ServerState::kUp,
                      {{"in_service", ServerState::kUp},
                       {"terminating", ServerState::kDraining},
                       {"terminated", ServerState::kGone}});
@@ -28,7 +30,7 @@
 
 LoadReport DecodeLoad(const json& from) {
   LoadReport out;
-  const json& gauge = Part(from, "Gauge");
+  const json& gauge = ObjectOr(from, "Gauge");
   out.outstanding = NumberOr(gauge, "outstanding", -1);
   out.queue = NumberOr(gauge, "backlog", -1);
   out.utilization = NumberOr(gauge, "utilization", -1);
@@ -39,7 +41,7 @@
 }
 
 Outcome DecodeOutcome(const json& from) {
-  return Word<Outcome>(from, "Reason",
+  return Enum<Outcome>(from, "Reason",
                        {{"pass", Outcome::kOk},
                         {"fault", Outcome::kError},
                         {"no_room", Outcome::kRejected},
@@ -63,16 +65,16 @@
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   std::string out;
   unsigned bits = 0;
-  int held = 0;
+  int bit_count = 0;
   for (const char c : text) {
     if (c == '=') break;
     const auto digit = kDigits.find(c);
-    if (digit == std::string_view::npos) Bad("member \"Content\" is not base64");
+    if (digit == std::string_view::npos) ThrowJsonError("member \"Content\" is not base64");
     bits = (bits << 6 | static_cast<unsigned>(digit)) & 0xffffU;
-    held += 6;
-    if (held >= 8) {
-      held -= 8;
-      out.push_back(static_cast<char>(bits >> held & 0xffU));
+    bit_count += 6;
+    if (bit_count >= 8) {
+      bit_count -= 8;
+      out.push_back(static_cast<char>(bits >> bit_count & 0xffU));
     }
   }
   return out;
@@ -88,8 +90,8 @@
   out.units = NumberOr(from, "CostUnits", 1);
   out.spread = static_cast<int>(IntegerOr(from, "Width", 1));
   out.first_gateway = static_cast<int>(IntegerOr(from, "FirstDoor", 0));
-  out.retry = FlagOr(from, "IsRetry");
-  out.write = FlagOr(from, "Update");
+  out.retry = BoolOr(from, "IsRetry");
+  out.write = BoolOr(from, "Update");
   return out;
 }
 
@@ -100,7 +102,7 @@
   out.server = Text(from, "Backend");
   out.outcome = DecodeOutcome(from);
   out.elapsed = TimeOr(from, "Elapsed");
-  out.final = FlagOr(from, "Last");
+  out.final = BoolOr(from, "Last");
   out.metered = IntegerOr(from, "Metered", 0);
   out.true_units = NumberOr(from, "TrueUnits", 0);
   out.load = DecodeLoad(from);
@@ -111,14 +113,15 @@
   const std::string text = Text(from, "Cookie");
   TimerEvent out;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out.token);
-  if (error != std::errc() || end != text.data() + text.size()) out.token = 0;  // not one of ours: nobody's
+  if (error != std::errc() || end != text.data() + text.size())
+    out.token = 0;  // not a token of ours: matches no timer
   return out;
 }
 
 CounterEvent DecodeCounter(const json& from) {
   CounterEvent out;
   out.name = Text(from, "Book");
-  out.result = Word<CounterResult>(from, "Reason",
+  out.result = Enum<CounterResult>(from, "Reason",
                                    {{"pass", CounterResult::kOk},
                                     {"no_room", CounterResult::kRefused},
                                     {"no_route", CounterResult::kUnreachable},
@@ -128,123 +131,157 @@
   return out;
 }
 
+StreamStartedEvent DecodeStreamStarted(const json& from) {
+  return {.id = DecodeId(from),
+          .attempt = DecodeAttempt(from),
+          .server = Text(from, "Backend"),
+          .elapsed = TimeOr(from, "Elapsed")};
+}
+
+ProbeEvent DecodeProbe(const json& from) {
+  return {.server = Text(from, "Backend"),
+          .outcome = DecodeOutcome(from),
+          .elapsed = TimeOr(from, "Elapsed"),
+          .load = DecodeLoad(from)};
+}
+
+PeerMessageEvent DecodePeerMessage(const json& from) {
+  return {.sender = static_cast<int>(IntegerOr(from, "Sender", 0)),
+          .bytes = DecodeBase64(TextOr(from, "Content"))};
+}
+
+InstanceStart DecodeInstanceStart(std::int64_t instance, const json& from) {
+  const json& seed = Require(from, "Seed");
+  if (!seed.is_number_integer()) ThrowJsonError("member \"Seed\" is not a whole number");
+  return {instance, seed.get<std::uint64_t>(), DecodeSettings(Require(from, "Info"))};
+}
+
 std::string Line(const json& message) { return message.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-json Begin(std::int64_t instance, const char* type) { return {{"event_type", type}, {"I", instance}}; }
+json NewMessage(std::int64_t instance, const char* type) { return {{"event_type", type}, {"I", instance}}; }
 
 struct ActionEncoder {
   std::int64_t instance;
 
-  json operator()(const Send& a) const {
-    json out = Begin(instance, "CallOut");
-    out["Corr"] = a.id;
-    out["Backend"] = a.server;
-    if (a.timeout.count() != 0) out["Limit"] = a.timeout.count();
+  json operator()(const Send& action) const {
+    json out = NewMessage(instance, "CallOut");
+    out["Corr"] = action.id;
+    out["Backend"] = action.server;
+    if (action.timeout.count() != 0) out["Limit"] = action.timeout.count();
     return out;
   }
-  json operator()(const Reject& a) const {
-    json out = Begin(instance, "Shed");
-    out["Corr"] = a.id;
-    if (a.retry_after.count() > 0) out["HoldOff"] = a.retry_after.count();
+  json operator()(const Reject& action) const {
+    json out = NewMessage(instance, "Shed");
+    out["Corr"] = action.id;
+    if (action.retry_after.count() > 0) out["HoldOff"] = action.retry_after.count();
     return out;
   }
-  json operator()(const Fail& a) const {
-    json out = Begin(instance, "GiveUp");
-    out["Corr"] = a.id;
+  json operator()(const Fail& action) const {
+    json out = NewMessage(instance, "GiveUp");
+    out["Corr"] = action.id;
     return out;
   }
-  json operator()(const Cancel& a) const {
-    json out = Begin(instance, "Revoke");
-    out["Corr"] = a.id;
-    out["Try"] = a.attempt;
+  json operator()(const Cancel& action) const {
+    json out = NewMessage(instance, "Revoke");
+    out["Corr"] = action.id;
+    out["Try"] = action.attempt;
     return out;
   }
-  json operator()(const SetTimer& a) const {
-    json out = Begin(instance, "Schedule");
-    out["After"] = a.after.count();
-    out["Cookie"] = std::to_string(a.token);
+  json operator()(const SetTimer& action) const {
+    json out = NewMessage(instance, "Schedule");
+    out["After"] = action.after.count();
+    out["Cookie"] = std::to_string(action.token);
     return out;
   }
-  json operator()(const CounterAdd& a) const {
-    json out = Begin(instance, "Incr");
-    out["Book"] = a.name;
-    out["Delta"] = a.amount;
-    out["Ttl"] = a.ttl.count();
+  json operator()(const CounterAdd& action) const {
+    json out = NewMessage(instance, "Incr");
+    out["Book"] = action.name;
+    out["Delta"] = action.amount;
+    out["Ttl"] = action.ttl.count();
     return out;
   }
-  json operator()(const Probe& a) const {
-    json out = Begin(instance, "Sample");
-    out["Backend"] = a.server;
+  json operator()(const Probe& action) const {
+    json out = NewMessage(instance, "Sample");
+    out["Backend"] = action.server;
     return out;
   }
   json operator()(const Subscribe&) const {
-    json out = Begin(instance, "Watch");
+    json out = NewMessage(instance, "Watch");
     out["Enable"] = true;
     return out;
   }
   json operator()(const ObservedUsage&) const { return nullptr; }
-  json operator()(const Log& a) const {
-    json out = Begin(instance, "Emit");
-    out["Line"] = a.line;
+  json operator()(const Log& action) const {
+    json out = NewMessage(instance, "Emit");
+    out["Line"] = action.line;
     return out;
   }
 };
 
 }  // namespace
 
+namespace {
+
+using EventDecoder = Event (*)(const json& from);
+
+struct EventType {
+  std::string_view name;  // of the wire
+  EventDecoder decode;
+};
+
+// Events of an instance that need nothing but their own line.
+constexpr EventType kEventTypes[] = {
+    {"Order", [](const json& from) -> Event { return DecodeRequest(from); }},
+    {"Response", [](const json& from) -> Event { return DecodeOutcomeEvent(from); }},
+    {"Wakeup", [](const json& from) -> Event { return DecodeTimer(from); }},
+    {"LedgerReply", [](const json& from) -> Event { return DecodeCounter(from); }},
+    {"CancelledByClient", [](const json& from) -> Event { return ClientGoneEvent{DecodeId(from)}; }},
+    {"HeadReceived", [](const json& from) -> Event { return DecodeStreamStarted(from); }},
+    {"Checked", [](const json& from) -> Event { return DecodeProbe(from); }},
+    {"Mail", [](const json& from) -> Event { return DecodePeerMessage(from); }},
+};
+
+}  // namespace
+
 Message Decoder::Decode(std::string_view line) {
   const json from = json::parse(line, nullptr, /*allow_exceptions=*/false);
-  if (from.is_discarded()) Bad("not valid JSON");
-  if (!from.is_object()) Bad("not a JSON object");
+  if (from.is_discarded()) ThrowJsonError("not valid JSON");
+  if (!from.is_object()) ThrowJsonError("not a JSON object");
   const std::string type = Text(from, "event_type");
   if (type == "Batch") return BatchStart{Time(from, "Ts")};
   if (type == "EofBatch") return BatchEnd{};
-  if (type == "Inventory") {
-    auto servers = std::make_shared<std::vector<ServerInfo>>();
-    for (const json& entry : Array(from, "Rows")) servers->push_back(DecodeServer(entry));
-    lists_[IntegerOr(from, "Buffer", 0)] = std::move(servers);
-    return Nothing{};
-  }
+  if (type == "Inventory") return StoreServerList(from);
+
   const std::int64_t instance = Integer(from, "I", 0, std::numeric_limits<std::int32_t>::max());
-  if (type == "Init") {
-    const json& seed = Need(from, "Seed");
-    if (!seed.is_number_integer()) Bad("member \"Seed\" is not a whole number");
-    return InstanceStart{instance, seed.get<std::uint64_t>(), DecodeSettings(Need(from, "Info"))};
-  }
+  if (type == "Init") return DecodeInstanceStart(instance, from);
   if (type == "Kill") return InstanceStop{instance};
-  if (type == "Order") return InstanceEvent{instance, DecodeRequest(from)};
-  if (type == "Response") return InstanceEvent{instance, DecodeOutcomeEvent(from)};
-  if (type == "Wakeup") return InstanceEvent{instance, DecodeTimer(from)};
-  if (type == "LedgerReply") return InstanceEvent{instance, DecodeCounter(from)};
-  if (type == "CancelledByClient") return InstanceEvent{instance, ClientGoneEvent{DecodeId(from)}};
-  if (type == "HeadReceived") {
-    return InstanceEvent{instance, StreamStartedEvent{DecodeId(from), DecodeAttempt(from),
-                                                      Text(from, "Backend"), TimeOr(from, "Elapsed")}};
-  }
-  if (type == "Checked") {
-    return InstanceEvent{instance, ProbeEvent{Text(from, "Backend"), DecodeOutcome(from),
-                                              TimeOr(from, "Elapsed"), DecodeLoad(from)}};
-  }
-  if (type == "Mail") {
-    return InstanceEvent{instance, PeerMessageEvent{static_cast<int>(IntegerOr(from, "Sender", 0)),
-                                                    DecodeBase64(TextOr(from, "Content"))}};
+  if (type == "PeersKnown") return InstanceEvent{instance, DecodeEndpointList(from)};
+  for (const EventType& known : kEventTypes) {
+    if (type == known.name) return InstanceEvent{instance, known.decode(from)};
   }
-  if (type == "PeersKnown") {
-    EndpointListEvent endpoint_list;
-    endpoint_list.kind = Word<EndpointListKind>(from, "Mode",
-                                                {{"Partial", EndpointListKind::kPartial},
-                                                 {"Complete", EndpointListKind::kComplete},
-                                                 {"Persisted", EndpointListKind::kPersisted},
-                                                 {"Error", EndpointListKind::kError}});
-    endpoint_list.version = static_cast<std::uint64_t>(IntegerOr(from, "Index", 0));
-    if (endpoint_list.kind != EndpointListKind::kError) {
-      const auto list = lists_.find(IntegerOr(from, "Buffer", 0));
-      if (list == lists_.end()) Bad("member \"Buffer\" names a list that was not given");
-      endpoint_list.servers = list->second;
-    }
-    return InstanceEvent{instance, std::move(endpoint_list)};
-  }
-  Bad("unknown event_type \"" + type + "\"");
+  ThrowJsonError("unknown event_type \"" + type + "\"");
+}
+
+NothingToHandle Decoder::StoreServerList(const json& from) {
+  auto servers = std::make_shared<std::vector<ServerInfo>>();
+  for (const json& entry : Array(from, "Rows")) servers->push_back(DecodeServer(entry));
+  lists_[IntegerOr(from, "Buffer", 0)] = std::move(servers);
+  return {};
+}
+
+EndpointListEvent Decoder::DecodeEndpointList(const json& from) const {
+  EndpointListEvent out;
+  out.kind = Enum<EndpointListKind>(from, "Mode",
+                                    {{"Partial", EndpointListKind::kPartial},
+                                     {"Complete", EndpointListKind::kComplete},
+                                     {"Persisted", EndpointListKind::kPersisted},
+                                     {"Error", EndpointListKind::kError}});
+  out.version = static_cast<std::uint64_t>(IntegerOr(from, "Index", 0));
+  if (out.kind == EndpointListKind::kError) return out;
+  const auto list = lists_.find(IntegerOr(from, "Buffer", 0));
+  if (list == lists_.end()) ThrowJsonError("member \"Buffer\" names a list that was not given");
+  out.servers = list->second;
+  return out;
 }
 
 std::string Encode(std::int64_t instance, const Action& action) {
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -1,4 +1,4 @@
-// JSON lines of the simulator's wire to and from the structs of postspread/control.h. Pure translation.
+// Translates the simulator's JSON lines to and from the types of postspread/control.h.
 #ifndef POSTSPREAD_SIMULATOR_WIRE_H_
 #define POSTSPREAD_SIMULATOR_WIRE_H_
 
@@ -10,19 +10,19 @@
 #include <variant>
 #include <vector>
 
-#include "json_read.h"
+#include "config/json_reader.h"
 #include "postspread/control.h"
 
 namespace postspread::simulator {
 
-// What was wrong with a line, in plain words.
-using WireError = json_read::JsonError;
+// A line that can't be decoded; the text names the faulty member.
+using WireError = json_reader::JsonError;
 
 struct BatchStart {
   TimePoint now{0};
 };
 struct BatchEnd {};
-struct Nothing {};  // a line that only the decoder needed
+struct NothingToHandle {};  // a line that only the decoder needed
 struct InstanceStart {
   std::int64_t instance = 0;
   std::uint64_t seed = 0;
@@ -36,19 +36,23 @@
   Event event;
 };
 
-using Message = std::variant<BatchStart, BatchEnd, Nothing, InstanceStart, InstanceStop, InstanceEvent>;
+using Message =
+    std::variant<BatchStart, BatchEnd, NothingToHandle, InstanceStart, InstanceStop, InstanceEvent>;
 
-// Reads lines in order; keeps the numbered server lists that later lines refer to.
+// Decodes lines in order; keeps the numbered server lists that later lines refer to.
 class Decoder {
  public:
   // Throws WireError.
   Message Decode(std::string_view line);
 
  private:
+  NothingToHandle StoreServerList(const json_reader::json& from);
+  [[nodiscard]] EndpointListEvent DecodeEndpointList(const json_reader::json& from) const;
+
   std::map<std::int64_t, std::shared_ptr<const std::vector<ServerInfo>>> lists_;
 };
 
-// One line, without its end; empty where the wire has no word for the action.
+// One line, without its end; empty where the wire has no message for the action.
 std::string Encode(std::int64_t instance, const Action& action);
 std::string EncodeReplyEnd();
 
--- a/tests/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "json_read.h"
+#include "config/json_reader.h"
 
 namespace postspread::config {
 namespace {
@@ -138,7 +138,7 @@
   classes[1]["Name"] = "order";
   classes[1]["KeyTtl"] = 5;  // one element alone has it: it may go
   const Config in_force = Read(from);
-  CHECK_NOTHROW(CheckWhole(Read(from), in_force));
+  CHECK_NOTHROW(CheckComplete(Read(from), in_force));
   int keys = 0;
   const json flat = from.flatten();
   for (const auto& [pointer, value] : flat.items()) {
@@ -150,17 +150,17 @@
       null[at] = nullptr;
       INFO(at.to_string());
       if (at.to_string() == "/settings/Classes/1/KeyTtl") {
-        CHECK_NOTHROW(CheckWhole(Read(cut), in_force));
+        CHECK_NOTHROW(CheckComplete(Read(cut), in_force));
         continue;
       }
-      CHECK_THROWS_AS(CheckWhole(Read(cut), in_force), ConfigError);
-      CHECK_THROWS_AS(CheckWhole(Read(null), in_force), ConfigError);
+      CHECK_THROWS_AS(CheckComplete(Read(cut), in_force), ConfigError);
+      CHECK_THROWS_AS(CheckComplete(Read(null), in_force), ConfigError);
       ++keys;
     }
   }
   CHECK(keys > 25);
   from["settings"]["Limits"].erase("ConnIdle");
-  CHECK_THROWS_WITH(CheckWhole(Read(from), in_force), "\"settings.Limits.ConnIdle\" is missing");
+  CHECK_THROWS_WITH(CheckComplete(Read(from), in_force), "\"settings.Limits.ConnIdle\" is missing");
 }
 
 TEST_CASE("the inherited socket and the operators' address") {
