--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -10,10 +10,13 @@
 namespace postspread::resp {
 namespace {
 
-constexpr std::size_t kMaxExtras = 1024;           // bytes of names and values
-constexpr std::size_t kMaxId = 128;                // bytes of a request's id
-constexpr std::uint64_t kCustomers = 1ULL << 33;   // customers are numbered below this
-constexpr long kMaxTimeoutMs = 24L * 3600 * 1000;  // what waits longer has a fault in its clock
+constexpr std::size_t kMaxExtras = 1024;          // bytes of names and values
+constexpr std::size_t kMaxId = 128;               // bytes of a request's id
+constexpr std::uint64_t kCustomers = 1ULL << 33;  // customers are numbered below this
+constexpr long kMaxTimeoutMs = 24L * 3600 * 1000;
+// Elements of a command: its verb, customer, id, names and values; and a write's body.
+constexpr std::size_t kReadParts = 4;
+constexpr std::size_t kWriteParts = 5;
 
 template <typename T>
 bool ToNumber(std::string_view text, T& out) {
@@ -64,82 +67,148 @@
   return std::string_view(*message_).substr(timeout_at_ + timeout_size_);
 }
 
+namespace {
+
+constexpr const char kGivenTwice[] = "name given twice";
+
+// Decodes a command's names and values. Each method returns what is wrong, or null.
+class FieldDecoder {
+ public:
+  FieldDecoder(const Vocabulary& vocabulary, DecodedRequest& out) : vocabulary_(vocabulary), out_(out) {}
+
+  // Names that are not in the table are skipped.
+  const char* DecodeAll(std::string_view fields) {
+    while (!fields.empty()) {
+      const std::string_view item = Next(fields, ',');
+      const std::size_t equals = item.find('=');
+      if (equals == std::string_view::npos || equals == 0) return "bad names and values";
+      if (const char* error = DecodeField(item.substr(0, equals), item.substr(equals + 1))) return error;
+    }
+    return nullptr;
+  }
+
+  [[nodiscard]] const char* FindMissing() const {
+    for (std::size_t i = 0; i < kFieldCount; ++i) {
+      if (kFields[i].missing != nullptr && !seen_[i]) return kFields[i].missing;
+    }
+    return nullptr;
+  }
+
+  // Whether command and key fit the class. Only once nothing is missing.
+  const char* CheckClass() {
+    if (class_->is_safe == out_.request.is_write) return "wrong command for this class";
+    if (class_->is_keyed && key_.empty()) return "k is missing";
+    if (class_->is_keyed) out_.request.key = key_;
+    return nullptr;
+  }
+
+ private:
+  struct Field {
+    std::string_view name;  // on the wire
+    const char* (FieldDecoder::*decode)(std::string_view value);
+    const char* missing;  // the error where it is absent; null: it may be
+  };
+
+  const char* DecodeField(std::string_view name, std::string_view value) {
+    for (std::size_t i = 0; i < kFieldCount; ++i) {
+      if (kFields[i].name != name) continue;
+      if (seen_[i]) return kGivenTwice;
+      seen_[i] = !value.empty();
+      return (this->*kFields[i].decode)(value);
+    }
+    return nullptr;
+  }
+
+  const char* DecodeClass(std::string_view value) {
+    const auto found = std::find_if(vocabulary_.classes.begin(), vocabulary_.classes.end(),
+                                    [value](const Vocabulary::Class& known) { return known.name == value; });
+    if (found == vocabulary_.classes.end()) return "unknown class";
+    class_ = &*found;
+    out_.request.class_name = value;
+    return nullptr;
+  }
+
+  const char* DecodePlan(std::string_view value) {
+    const auto found = std::find(vocabulary_.plans.begin(), vocabulary_.plans.end(), value);
+    if (found == vocabulary_.plans.end()) return "unknown plan";
+    out_.request.plan = value;
+    return nullptr;
+  }
+
+  const char* DecodeTimeout(std::string_view value) {
+    long milliseconds = 0;
+    if (!ToNumber(value, milliseconds) || milliseconds < 1 || milliseconds > kMaxTimeoutMs) return "bad d";
+    out_.timeout = value;
+    out_.request.timeout = std::chrono::milliseconds(milliseconds);
+    return nullptr;
+  }
+
+  const char* DecodeUnits(std::string_view value) {
+    double& units = out_.request.units;
+    return ToNumber(value, units) && units > 0 && units <= vocabulary_.max_units ? nullptr : "bad units";
+  }
+
+  const char* DecodeSpread(std::string_view value) {
+    int& spread = out_.request.spread;
+    return ToNumber(value, spread) && spread >= 1 && spread <= vocabulary_.gateways ? nullptr : "bad spread";
+  }
+
+  const char* DecodeFirst(std::string_view value) {
+    int& first = out_.request.first;
+    return ToNumber(value, first) && first >= 0 && first < vocabulary_.gateways ? nullptr : "bad first";
+  }
+
+  const char* DecodeRetry(std::string_view value) {
+    if (value != "0" && value != "1") return "bad r";
+    out_.request.is_retry = value == "1";
+    return nullptr;
+  }
+
+  const char* DecodeKey(std::string_view value) {
+    if (value.empty()) return "bad k";
+    key_ = value;
+    return nullptr;
+  }
+
+  // In the order in which a missing one is reported.
+  static constexpr std::size_t kFieldCount = 8;
+  static constexpr std::array<Field, kFieldCount> kFields = {
+      {{"c", &FieldDecoder::DecodeClass, "c is missing"},
+       {"t", &FieldDecoder::DecodePlan, "t is missing"},
+       {"d", &FieldDecoder::DecodeTimeout, "d is missing"},
+       {"units", &FieldDecoder::DecodeUnits, "units is missing"},
+       {"spread", &FieldDecoder::DecodeSpread, "spread is missing"},
+       {"first", &FieldDecoder::DecodeFirst, "first is missing"},
+       {"r", &FieldDecoder::DecodeRetry, nullptr},
+       {"k", &FieldDecoder::DecodeKey, nullptr}}};
+
+  const Vocabulary& vocabulary_;
+  DecodedRequest& out_;
+  std::array<bool, kFieldCount> seen_{};
+  const Vocabulary::Class* class_ = nullptr;
+  std::string_view key_;
+};
+
+}  // namespace
+
 const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, DecodedRequest& out) {
   const std::string_view verb = command.parts[0];
   const bool is_write = verb == "API.WRITE";
   if (!is_write && verb != "API.READ") return "unknown command";
-  if (command.count != (is_write ? 5U : 4U)) return "wrong number of arguments";
+  if (command.count != (is_write ? kWriteParts : kReadParts)) return "wrong number of arguments";
   if (!IsCustomer(command.parts[1])) return "bad customer";
   if (command.parts[2].empty() || command.parts[2].size() > kMaxId) return "bad id";
   out.id = command.parts[2];
   out.extras = command.parts[3];
   if (out.extras.size() > kMaxExtras) return "names and values too long";
   out.timeout = {};
-  Request& request = out.request;
-  request = Request{.customer = command.parts[1], .is_write = is_write};
-
-  const Vocabulary::Class* cls = nullptr;
-  bool has_key = false, has_units = false, has_spread = false, has_first = false, has_retry = false;
-  std::string_view rest = out.extras, key;
-  while (!rest.empty()) {
-    const std::string_view item = Next(rest, ',');
-    const std::size_t equals = item.find('=');
-    if (equals == std::string_view::npos || equals == 0) return "bad names and values";
-    const std::string_view name = item.substr(0, equals), value = item.substr(equals + 1);
-    if (name == "c") {
-      if (cls != nullptr) return "name given twice";
-      const auto found = std::find_if(vocabulary.classes.begin(), vocabulary.classes.end(),
-                                      [value](const auto& c) { return c.name == value; });
-      if (found == vocabulary.classes.end()) return "unknown class";
-      cls = &*found;
-      request.class_name = value;
-    } else if (name == "t") {
-      if (!request.plan.empty()) return "name given twice";
-      if (std::find(vocabulary.plans.begin(), vocabulary.plans.end(), value) == vocabulary.plans.end()) {
-        return "unknown plan";
-      }
-      request.plan = value;
-    } else if (name == "d") {
-      if (!out.timeout.empty()) return "name given twice";
-      long ms = 0;
-      if (!ToNumber(value, ms) || ms < 1 || ms > kMaxTimeoutMs) return "bad d";
-      out.timeout = value;
-      request.timeout = std::chrono::milliseconds(ms);
-    } else if (name == "units") {
-      if (std::exchange(has_units, true)) return "name given twice";
-      if (!ToNumber(value, request.units) || !(request.units > 0) || request.units > vocabulary.max_units) {
-        return "bad units";
-      }
-    } else if (name == "spread") {
-      if (std::exchange(has_spread, true)) return "name given twice";
-      if (!ToNumber(value, request.spread) || request.spread < 1 || request.spread > vocabulary.gateways) {
-        return "bad spread";
-      }
-    } else if (name == "first") {
-      if (std::exchange(has_first, true)) return "name given twice";
-      if (!ToNumber(value, request.first) || request.first < 0 || request.first >= vocabulary.gateways) {
-        return "bad first";
-      }
-    } else if (name == "r") {
-      if (std::exchange(has_retry, true)) return "name given twice";
-      if (value != "0" && value != "1") return "bad r";
-      request.is_retry = value == "1";
-    } else if (name == "k") {
-      if (std::exchange(has_key, true)) return "name given twice";
-      if (value.empty()) return "bad k";
-      key = value;
-    }
-  }
-  if (cls == nullptr) return "c is missing";
-  if (request.plan.empty()) return "t is missing";
-  if (out.timeout.empty()) return "d is missing";
-  if (!has_units) return "units is missing";
-  if (!has_spread) return "spread is missing";
-  if (!has_first) return "first is missing";
-  if (cls->is_safe == is_write) return "wrong command for this class";
-  if (cls->is_keyed && !has_key) return "k is missing";
-  if (cls->is_keyed) request.key = key;
-  if (is_write) request.body = command.parts[4];
+  out.request = Request{.customer = command.parts[1], .is_write = is_write};
+
+  FieldDecoder fields(vocabulary, out);
+  if (const char* error = fields.DecodeAll(out.extras)) return error;
+  if (const char* error = fields.FindMissing()) return error;
+  if (const char* error = fields.CheckClass()) return error;
+  if (is_write) out.request.body = command.parts[kBodyAt];
   return nullptr;
 }
 
