--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,6 +1,6 @@
 // Measures the membership view: real gateways under faults drawn from a seed, then many in modelled
 // time, then what the view costs beside the same traffic without it. Exit 0 only if every promise of
-// src/membership/fleet.h held; the last line is one JSON object.
+// src/membership/membership.h held; the last line is one JSON object.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -96,84 +96,103 @@
              .loss = loss,
              .seed = settings_.seed + (loss > 0 ? 1 : 0)});
     rig.StartAll();
-    // From the last fault on: `before` periods of it have gone by already.
-    const auto settle = [&](const char* what, double before = 0) {
-      const double rest = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
-      const double took = before + rest;
-      std::cout << "loss " << loss << ", " << what << ": settled after " << took << " periods" << std::endl;
-      if (rest < 0) {
-        ++lost_for_ever_;
-        Broken(std::string("no common view after: ") + what);
-      }
-      settle_.push_back(rest < 0 ? kGiveUp : took);
-      ++faults_;
-      rig.Run(milliseconds(400 + rig.random()() % 800));
-    };
-    settle("start of all");
+    loss_ = loss;
+    Settle(rig, "start of all");
     const auto until = partners::Clock::now() + seconds(settings_.faults_s / 2);
     for (const Fault& fault : Timetable(loss > 0 ? 1 : 0)) {
       if (settings_.play.empty() && partners::Clock::now() >= until) break;
-      const std::vector<int> living = rig.Living();
-      const int i = living[fault.pick % living.size()];
-      const milliseconds span(fault.ms);
-      switch (fault.kind) {
-        case Fault::kKill: {
-          rig.Kill(i);
-          const double took = rig.Until([&] { return !rig.SeenByAny(i); }, kGiveUp);
-          if (loss == 0) detect_.push_back(took < 0 ? kGiveUp : took);
-          settle("a kill", took < 0 ? kGiveUp : took);
-          rig.Start(i);
-          settle("its start");
-          break;
-        }
-        case Fault::kShortStop:
-          rig.Stop(i);
-          rig.Run(milliseconds(1'000));  // less than the suspicion
-          rig.Continue(i);
-          settle("a short stop");
-          break;
-        case Fault::kLongStop:
-          rig.Stop(i);
-          rig.Run(milliseconds(3'000) + span / 2);
-          rig.Continue(i);
-          settle("a long stop");
-          break;
-        case Fault::kSplit: {
-          std::vector<int> sides;
-          sides.reserve(rig.size());
-          for (int m = 0; m < rig.size(); ++m) sides.push_back(static_cast<int>(fault.pick >> (m + 8) & 1));
-          rig.Split(sides);
-          rig.Run(milliseconds(1'000) + span);
-          rig.HealAll();
-          settle("a split that healed");
-          break;
-        }
-        case Fault::kLeave: {
-          rig.Terminate(i);
-          const double took = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
-          if (rig.Until([&] { return !rig.alive(i); }, kGiveUp) < 0) Broken("a told process did not end");
-          settle("a leave", took < 0 ? kGiveUp : took);
-          rig.Start(i);
-          settle("its start");
-          break;
-        }
-        case Fault::kCutOff:
-          rig.CutOff(i);
-          rig.Run(milliseconds(1'000) + span);
-          rig.Rejoin(i);
-          settle("one cut off for a while");
-          break;
-      }
+      Play(rig, fault);
+    }
+    if (loss == 0) KillSevenInTen(rig);
+    Collect(rig);
+  }
+
+  // Waits for one common view; `before` periods since the last fault have gone by already.
+  void Settle(Rig& rig, const char* what, double before = 0) {
+    const double rest = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
+    const double took = before + rest;
+    std::cout << "loss " << loss_ << ", " << what << ": settled after " << took << " periods" << std::endl;
+    if (rest < 0) {
+      ++lost_for_ever_;
+      Broken(std::string("no common view after: ") + what);
     }
-    if (loss == 0) {  // seven in ten at once
-      const int killed = rig.size() * 7 / 10;
-      for (int i = 0; i < killed; ++i) rig.Kill(i);
-      const double took = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
-      std::cout << "seven in ten killed: " << took << " periods" << std::endl;
-      seven_ = took < 0 ? kGiveUp : took;
-      rig.StartAll();
-      settle("their start");
+    settle_.push_back(rest < 0 ? kGiveUp : took);
+    ++faults_;
+    rig.Run(milliseconds(400 + rig.random()() % 800));
+  }
+
+  void Play(Rig& rig, const Fault& fault) {
+    const std::vector<int> living = rig.Living();
+    const int victim = living[fault.pick % living.size()];
+    const milliseconds span(fault.ms);
+    switch (fault.kind) {
+      case Fault::kKill:
+        return PlayKill(rig, victim);
+      case Fault::kShortStop:  // less than the suspicion
+        return PlayStop(rig, victim, milliseconds(1'000), "a short stop");
+      case Fault::kLongStop:
+        return PlayStop(rig, victim, milliseconds(3'000) + span / 2, "a long stop");
+      case Fault::kSplit:
+        return PlaySplit(rig, fault.pick, milliseconds(1'000) + span);
+      case Fault::kLeave:
+        return PlayLeave(rig, victim);
+      case Fault::kCutOff:
+        rig.CutOff(victim);
+        rig.Run(milliseconds(1'000) + span);
+        rig.Rejoin(victim);
+        return Settle(rig, "one cut off for a while");
+    }
+  }
+
+  void PlayKill(Rig& rig, int victim) {
+    rig.Kill(victim);
+    const double took = rig.Until([&] { return !rig.SeenByAny(victim); }, kGiveUp);
+    if (loss_ == 0) detect_.push_back(took < 0 ? kGiveUp : took);
+    Settle(rig, "a kill", took < 0 ? kGiveUp : took);
+    rig.Start(victim);
+    Settle(rig, "its start");
+  }
+
+  void PlayStop(Rig& rig, int victim, milliseconds span, const char* what) {
+    rig.Stop(victim);
+    rig.Run(span);
+    rig.Continue(victim);
+    Settle(rig, what);
+  }
+
+  void PlaySplit(Rig& rig, std::uint64_t pick, milliseconds span) {
+    std::vector<int> sides;
+    sides.reserve(static_cast<std::size_t>(rig.size()));
+    for (int member = 0; member < rig.size(); ++member) {
+      sides.push_back(static_cast<int>(pick >> (member + 8) & 1));
     }
+    rig.Split(sides);
+    rig.Run(span);
+    rig.HealAll();
+    Settle(rig, "a split that healed");
+  }
+
+  void PlayLeave(Rig& rig, int victim) {
+    rig.Terminate(victim);
+    const double took = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
+    if (rig.Until([&] { return !rig.alive(victim); }, kGiveUp) < 0) Broken("a told process did not end");
+    Settle(rig, "a leave", took < 0 ? kGiveUp : took);
+    rig.Start(victim);
+    Settle(rig, "its start");
+  }
+
+  void KillSevenInTen(Rig& rig) {
+    const int killed = rig.size() * 7 / 10;
+    for (int i = 0; i < killed; ++i) rig.Kill(i);
+    const double took = rig.Until([&] { return rig.AllAgree(); }, kGiveUp);
+    std::cout << "seven in ten killed: " << took << " periods" << std::endl;
+    seven_ = took < 0 ? kGiveUp : took;
+    rig.StartAll();
+    Settle(rig, "their start");
+  }
+
+  // What the rig counted all through.
+  void Collect(Rig& rig) {
     rig.ReadMetrics();
     double sent = 0;
     for (const int i : rig.Living()) sent += rig.Metric(i, "svc_fleet_datagrams_sent");
@@ -311,6 +330,7 @@
   }
 
   Settings settings_;
+  double loss_ = 0;  // of the rig under way
   std::vector<std::string> broken_;
   std::vector<double> settle_, detect_;
   std::map<int, double> bytes_, settle_modelled_;
@@ -326,13 +346,13 @@
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
   postspread::bench::Settings settings;
-  CLI::App app("Measures the view of the fleet; prints its figures as one JSON object on the last line");
+  CLI::App app("Measures the membership view; prints its figures as one JSON object on the last line");
   app.add_flag("--short", settings.is_short,
                "8 processes, 30 s of faults, no 500 members, no defence switched off");
   app.add_option("--seed", settings.seed, "Random numbers: faults, loss, delays");
-  app.add_option("--processes", settings.processes, "Gatekeepers that are started")->check(CLI::Range(3, 16));
+  app.add_option("--processes", settings.processes, "Gateways that are started")->check(CLI::Range(3, 16));
   app.add_option("--faults-s", settings.faults_s, "Seconds of faults among them");
-  app.add_option("--rate", settings.rate, "Requests a second to each gatekeeper where CPU is measured");
+  app.add_option("--rate", settings.rate, "Requests a second to each gateway where CPU is measured");
   app.add_option("--write", settings.write, "Writes the timetable of faults down")->type_name("FILE");
   app.add_option("--play", settings.play, "Plays the faults of such a file, all of them")
       ->type_name("FILE")
--- a/bench/idempotency.cpp
+++ b/bench/idempotency.cpp
@@ -1,4 +1,4 @@
-// Measures the store of keys: three real gateways among stand-ins on loopback, clients that send changes
+// Measures the idempotency store: three real gateways among stand-ins on loopback, clients that send changes
 // again at once and through random gateways, datagrams lost, one gateway killed and restarted, one node
 // killed. Then the cost: the same traffic without repeats to gateways with the store and without it.
 //
@@ -18,9 +18,9 @@
 #include <set>
 #include <sstream>
 
+#include "gateway_group.h"
 #include "partners/client.h"
 #include "partners/platform.h"
-#include "partners/process.h"
 
 namespace postspread::bench {
 namespace {
@@ -29,9 +29,11 @@
 using nlohmann::json;
 using std::chrono::seconds;
 
-constexpr int kGateways = 3, kPods = 3, kNodesEach = 3, kFirms = 300;
-constexpr milliseconds kPatience{4'000};
-constexpr milliseconds kLate{1'500};  // after a client's patience: by then an answer counts as never come
+constexpr int kPods = 3;
+constexpr int kNodesEach = 3;  // in each pod
+constexpr int kCustomers = 300;
+constexpr milliseconds kTimeout{4'000};
+constexpr milliseconds kLate{1'500};  // after a client's timeout: by then an answer counts as never come
 
 struct Options {
   int changes = 20'000;
@@ -43,126 +45,6 @@
   double cost_rate = 300;  // requests a second to each of the two groups
 };
 
-// Three gateways as processes.
-class Group {
- public:
-  Group(event_base* base, const std::filesystem::path& folder, const std::string& name, bool with_store,
-        const json& known, const std::string& discovery, const std::string& counter, std::uint64_t seed)
-      : folder_(folder), name_(name), with_store_(with_store), datagrams(base, kGateways, seed) {
-    for (int i = 0; i < kGateways; ++i) {
-      ports_.push_back(FreePort());
-      processes_.push_back(nullptr);
-      json settings = {
-          {"Classes",
-           {{{"Name", "calendar-read"}, {"Aim", 800'000}, {"HardLimit", 3'000'000}, {"Effect", "safe"}},
-            {{"Name", "schedule-change"},
-             {"Aim", 2'000'000},
-             {"HardLimit", 8'000'000},
-             {"Effect", "keyed"},
-             {"DedupScope", "cell"},
-             {"KeyTtl", 15'000'000}}}},
-          {"Contracts", {{{"Name", "basic"}, {"PerSecond", 100'000}, {"Depth", 100'000}}}},
-          {"Domain", {{"SharedCounter", true}, {"CountLimit", 100'000}, {"MaxUnits", 4}}},
-          {"Zones", {"hall-a", "hall-b", "hall-c"}},
-          {"MyZone", std::string("hall-") + static_cast<char>('a' + i)},
-          {"Rank", i},
-          {"GroupSize", kGateways},
-          {"Limits",
-           {{"Cancelling", true},
-            {"MostTries", 4},
-            {"MayTell", true},
-            {"RetryAfter", true},
-            {"MaxRetryAfter", 1'000'000},
-            {"DialTimeout", 500'000},
-            {"ConnIdle", 30'000'000}}},
-          {"Safety", {{"DrainGrace", 250'000}}}};
-      const json config = {{"name", name + std::to_string(i)},
-                           {"listen", LoopbackAddress(ports_.back())},
-                           {"discovery", discovery},
-                           {"counter", counter},
-                           {"seed", std::to_string(seed + static_cast<std::uint64_t>(i))},
-                           {"peer_listen", datagrams.listen(i)},
-                           {"peers", datagrams.peers(i)},
-                           {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", known}}},
-                           {"settings", settings}};
-      std::ofstream(Path(i, ".json")) << config.dump();
-    }
-    std::ofstream(folder_ / (name_ + ".conf"))
-        << "idempotency {\n enabled = true\n keep = 40s\n memory = 8mb\n datagrams_per_second = 2000\n"
-           " customer_share = 0.25\n}\n";
-    for (int i = 0; i < kGateways; ++i) Start(i);
-  }
-
-  void Start(int rank) {
-    Process::Plan plan;
-    plan.program = GATEWAY_PROGRAM;
-    plan.variables = {"ROUTER_CONFIG=" + Path(rank, ".json")};
-    if (with_store_) plan.arguments = {"--operator", (folder_ / (name_ + ".conf")).string()};
-    plan.log = Path(rank, ".log");
-    processes_[static_cast<std::size_t>(rank)] = std::make_unique<Process>(plan);
-  }
-  void Kill(int rank) {
-    NoteMemory();
-    processes_[static_cast<std::size_t>(rank)].reset();
-  }
-  // Ends all by SIGTERM; true where each ended with 0.
-  bool Stop() {
-    NoteMemory();
-    bool sound = true;
-    for (const auto& process : processes_) {
-      if (process) process->Terminate();
-    }
-    for (const auto& process : processes_) {
-      if (process) sound = process->Wait() == 0 && sound;
-    }
-    return sound;
-  }
-  [[nodiscard]] int port(int rank) const { return ports_[static_cast<std::size_t>(rank)]; }
-
-  // Seconds of CPU that the living ones have used.
-  [[nodiscard]] double Cpu() const {
-    double out = 0;
-    for (const auto& process : processes_) out += process ? process->CpuSeconds() : 0;
-    return out;
-  }
-  void NoteMemory() {
-    for (const auto& process : processes_) rss_mb = std::max(rss_mb, process ? process->PeakMb() : 0);
-  }
-  // A figure of the log's lines on keys: the last of each life, summed or the largest.
-  [[nodiscard]] double Metric(const std::string& figure, bool largest = false) const {
-    double out = 0;
-    for (int i = 0; i < kGateways; ++i) {
-      std::ifstream file(Path(i, ".log"));
-      double last = 0;
-      const auto close = [&] { out = largest ? std::max(out, last) : out + last, last = 0; };
-      for (std::string line; std::getline(file, line);) {
-        if (line.find("postspread: started") == 0) close();
-        const std::size_t at = line.find(" " + figure + "=");
-        if (line.find("postspread: keys:") == 0 && at != std::string::npos) {
-          last = std::stod(line.substr(at + figure.size() + 2));
-        }
-      }
-      close();
-    }
-    return out;
-  }
-
-  double rss_mb = 0;
-
- private:
-  std::string Path(int rank, const char* ending) const {
-    return (folder_ / (name_ + std::to_string(rank) + ending)).string();
-  }
-  std::filesystem::path folder_;
-  std::string name_;
-  bool with_store_;
-  std::vector<int> ports_;
-  std::vector<std::unique_ptr<Process>> processes_;
-
- public:
-  Datagrams datagrams;
-};
-
 struct Change {
   std::string customer, key;
   int open = 0, tries = 0;
@@ -217,7 +99,7 @@
     for (int i = 0; i < kGateways; ++i) ping(i);
     const auto limit = Clock::now() + seconds(20);
     Loop([&] { return ready.size() == kGateways || Clock::now() > limit; });
-    if (ready.size() != kGateways) throw std::runtime_error("the gatekeepers were not ready within 20 s");
+    if (ready.size() != kGateways) throw std::runtime_error("the gateways were not ready within 20 s");
     (void)group;
   }
 
@@ -244,53 +126,64 @@
     WaitReady(group, clients);
 
     const auto begun = Clock::now();
-    const double length_s = options_.changes / options_.rate;
-    const auto at = [&](double share) {
-      return std::chrono::duration_cast<std::chrono::microseconds>(
-          std::chrono::duration<double>(length_s * share));
+    const std::chrono::duration<double> length(options_.changes / options_.rate);
+    ScheduleFailures(group, nodes, discovery, length);
+    const std::function<void()> send_due = [&] { SendDue(begun, send_due); };
+    send_due();
+    const auto limit = begun + std::chrono::duration_cast<Clock::duration>(length) + seconds(60);
+    Loop([&] {
+      const bool sent = static_cast<int>(changes_.size()) == options_.changes;
+      return (sent && open_ == 0 && failures_to_mend_ == 0) || Clock::now() > limit;
+    });
+    unanswered_ += open_;
+    // Late repeats of some, past the pods' window, when nothing else is under way.
+    if (!node_down_) LateRepeats();
+    CollectRepeats(nodes, group);
+    clients_ = nullptr;
+    group_ = nullptr;
+    Rest();
+  }
+
+  // One gateway is killed and started again, then one node.
+  void ScheduleFailures(Group& group, Nodes& nodes, Discovery& discovery,
+                        std::chrono::duration<double> length) {
+    const auto at = [length](double fraction) {
+      return std::chrono::duration_cast<std::chrono::microseconds>(length * fraction);
     };
-    bool node_down = false;
+    failures_to_mend_ = 2;
     After(base_.get(), at(0.3), [&] {
       group.Kill(1);
       down_.emplace_back(Clock::now(), Clock::now() + seconds(4));
     });
-    int to_come = 2;  // failures that are still to be mended: until then this part is not over
     After(base_.get(), at(0.3) + seconds(3), [&] {
       group.Start(1);
-      --to_come;
+      --failures_to_mend_;
     });
     After(base_.get(), at(0.65), [&] {
       nodes.Kill(4);
-      node_down = true;
+      node_down_ = true;
       down_.emplace_back(Clock::now(), Clock::now() + seconds(5));
       After(base_.get(), seconds(1), [&] { discovery.Tell(nodes.Listed(kNodesEach)); });
     });
     After(base_.get(), at(0.65) + seconds(4), [&] {
       nodes.Restart(4);
-      node_down = false;
-      --to_come;
+      node_down_ = false;
+      --failures_to_mend_;
       discovery.Tell(nodes.Listed(kNodesEach));
     });
+  }
 
-    std::function<void()> next = [&] {
-      const double due = std::chrono::duration<double>(Clock::now() - begun).count() * options_.rate;
-      while (static_cast<int>(changes_.size()) < options_.changes &&
-             static_cast<double>(changes_.size()) < due) {
-        Begin();
-      }
-      if (static_cast<int>(changes_.size()) < options_.changes) After(base_.get(), milliseconds(5), next);
-    };
-    next();
-    const auto limit = begun +
-                       std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(length_s)) +
-                       seconds(60);
-    Loop([&] {
-      const bool over = static_cast<int>(changes_.size()) == options_.changes && open_ == 0 && to_come == 0;
-      return over || Clock::now() > limit;
-    });
-    unanswered_ += open_;
-    // Late repeats of some, past the pods' window, when nothing else is under way.
-    if (!node_down) LateRepeats();
+  // Begins the changes that are due by now, and comes again until all have begun.
+  void SendDue(Clock::time_point begun, const std::function<void()>& again) {
+    const double due = std::chrono::duration<double>(Clock::now() - begun).count() * options_.rate;
+    while (static_cast<int>(changes_.size()) < options_.changes &&
+           static_cast<double>(changes_.size()) < due) {
+      Begin();
+    }
+    if (static_cast<int>(changes_.size()) < options_.changes) After(base_.get(), milliseconds(5), again);
+  }
+
+  void CollectRepeats(const Nodes& nodes, Group& group) {
     for (const auto& [key, times] : nodes.applied) applied_twice_ += times > 1;
     applied_ = nodes.changes;
     dropped_by_pods_ = nodes.repeats_dropped;
@@ -302,14 +195,11 @@
     }
     store_max_ = group.Metric("bytes_max", true);
     store_bound_ = group.Metric("bytes_bound", true);
-    clients_ = nullptr;
-    group_ = nullptr;
-    Rest();
   }
 
   void Begin() {
     auto change = std::make_shared<Change>();
-    change->customer = Hex(random_() % kFirms + 1, 16);
+    change->customer = Hex(random_() % kCustomers + 1, 16);
     change->key = Hex(random_(), 16);
     change->begun = Clock::now();
     changes_.push_back(change);
@@ -335,11 +225,11 @@
     ++change->tries;
     const int rank = static_cast<int>(random_() % kGateways);
     std::string message;
-    const std::string extras = "c=schedule-change,t=basic,d=" + std::to_string(kPatience.count()) +
+    const std::string extras = "c=schedule-change,t=basic,d=" + std::to_string(kTimeout.count()) +
                                ",k=" + change->key + ",units=1,spread=3,first=0";
     resp::AppendCommand({"API.WRITE", change->customer, Id(), extras, "move to " + change->key}, message);
     auto ended = std::make_shared<bool>(false);
-    After(base_.get(), kPatience + kLate, [this, ended, change] {
+    After(base_.get(), kTimeout + kLate, [this, ended, change] {
       if (std::exchange(*ended, true)) return;
       ++unanswered_;
       Over(change);
@@ -394,6 +284,21 @@
 
   // ---- Part two: what the store costs ----
 
+  std::string ChangeCommand(const std::string& customer, const std::string& key) {
+    std::string out;
+    resp::AppendCommand({"API.WRITE", customer, Id(),
+                         "c=schedule-change,t=basic,d=4000,units=1,spread=3,first=0,k=" + key, "move"},
+                        out);
+    return out;
+  }
+
+  std::string ReadCommand(const std::string& customer) {
+    std::string out;
+    resp::AppendCommand(
+        {"API.READ", customer, Id(), "c=calendar-read,t=basic,d=3000,units=1,spread=3,first=0"}, out);
+    return out;
+  }
+
   void Cost() {
     Nodes nodes(base_.get(), kPods, kNodesEach, options_.seed, seconds(15));
     Discovery discovery(base_.get());
@@ -416,25 +321,16 @@
       const double due = std::chrono::duration<double>(Clock::now() - begun).count() * options_.cost_rate;
       for (; sent < total && sent < due; ++sent) {
         const int rank = static_cast<int>(random_() % kGateways);
-        const std::string customer = Hex(random_() % kFirms + 1, 16), key = Hex(random_(), 16);
+        const std::string customer = Hex(random_() % kCustomers + 1, 16), key = Hex(random_(), 16);
         const bool is_change = Chance() < 0.23;  // the site's mix
         for (Clients* clients : {&on_clients, &off_clients}) {
-          std::string message;
-          const std::string more = ",units=1,spread=3,first=0";
-          if (is_change) {
-            const std::string side = clients == &on_clients ? "1" : "2";
-            resp::AppendCommand({"API.WRITE", customer, Id(),
-                                 "c=schedule-change,t=basic,d=4000,k=" + key + side + more, "move"},
-                                message);
-          } else {
-            resp::AppendCommand({"API.READ", customer, Id(), "c=calendar-read,t=basic,d=3000" + more},
-                                message);
-          }
+          const char* const side = clients == &on_clients ? "1" : "2";
           ++open;
-          clients->Ask(rank, message, [&](bool came, const std::string& answer) {
-            --open;
-            served += came && answer[0] == '+';
-          });
+          clients->Ask(rank, is_change ? ChangeCommand(customer, key + side) : ReadCommand(customer),
+                       [&](bool came, const std::string& answer) {
+                         --open;
+                         served += came && answer[0] == '+';
+                       });
         }
       }
       if (sent < total) After(base_.get(), milliseconds(2), next);
@@ -471,7 +367,7 @@
     must(different_ == 0, std::to_string(different_) + " answers differ from another one to the same change");
     must(unanswered_ == 0, std::to_string(unanswered_) + " requests were never answered");
     must(too_long_ == 0, "datagrams were longer than 256 bytes");
-    must(clean_stop_, "a gatekeeper did not end with 0 at SIGTERM");
+    must(clean_stop_, "a gateway did not end with 0 at SIGTERM");
     must(answered >= 0.99,
          "only " + std::to_string(answered) + " of the changes ended with a definite answer");
     if (options_.disabled.empty()) {
@@ -512,6 +408,8 @@
   net::EventBase base_;
   std::mt19937_64 random_;
   std::filesystem::path folder_;
+  int failures_to_mend_ = 0;  // until they are, the first part is not over
+  bool node_down_ = false;
   Group* group_ = nullptr;
   Clients* clients_ = nullptr;
   std::uint64_t next_id_ = 1;
@@ -533,7 +431,7 @@
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
   postspread::bench::Options options;
-  CLI::App app("Measures the store of keys; prints its figures as one JSON object on the last line");
+  CLI::App app("Measures the idempotency store; prints its figures as one JSON object on the last line");
   app.add_flag("--short", options.is_short, "2,000 changes, under 60 s");
   app.add_flag("--skip-cost", options.skip_cost, "Leaves out the second part, which measures CPU");
   app.add_option("--seed", options.seed, "Random numbers");
@@ -541,7 +439,10 @@
   app.add_option("--without", options.disabled, "Switches a defence off")->check(CLI::IsMember({"store"}));
   app.add_option("--changes", options.changes, "Changes in the first part");
   CLI11_PARSE(app, argc, argv);
-  if (options.is_short) options.changes = std::min(options.changes, 2'000), options.cost_s = 15;
+  if (options.is_short) {
+    options.changes = std::min(options.changes, 2'000);
+    options.cost_s = 15;
+  }
   try {
     return postspread::bench::Run(options).Main();
   } catch (const std::exception& error) {
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -57,6 +57,8 @@
   std::uint64_t incarnation = 0;
 };
 
+class AdminCall;
+
 class Rig {
  public:
   explicit Rig(Options options);
@@ -174,8 +176,11 @@
     int polls = 0;
     std::vector<Clock::time_point> changes;
   };
-  class Fetch;
   std::vector<Relay*> Relays(int i, Way way);
+  void SetUpDatagrams();
+  void SetUpGateway(int i);
+  [[nodiscard]] json ConfigOf(int i, const json& endpoints) const;
+  [[nodiscard]] json SettingsOf(int i) const;
   void MapFaults(int i);
   Gateway& at(int i) { return *gateways_[static_cast<std::size_t>(i)]; }
   [[nodiscard]] const Gateway& at(int i) const { return *gateways_[static_cast<std::size_t>(i)]; }
@@ -203,7 +208,7 @@
   std::vector<int> sides_;
   std::set<int> cut_off_;
   std::vector<std::string> timetable_, broken_;
-  std::vector<std::unique_ptr<Fetch>> fetches_;
+  std::vector<std::unique_ptr<AdminCall>> admin_calls_;
   std::unique_ptr<partners::Clients> clients_;
   double per_second_ = 0;
   double owed_ = 0;
