--- a/src/main.cpp
+++ b/src/main.cpp
@@ -112,14 +112,11 @@
 postspread::membership::DisabledDefense Switched() {
   using postspread::membership::DisabledDefense;
 #ifdef POSTSPREAD_SWITCHES
-  const std::map<std::string, DisabledDefense> words{{"refutation", DisabledDefense::kRefutation},
-                                                     {"lives", DisabledDefense::kIncarnations},
-                                                     {"local-health", DisabledDefense::kLocalHealth},
-                                                     {"asking-again", DisabledDefense::kAskingAgain},
-                                                     {"order", DisabledDefense::kOrder},
-                                                     {"budget", DisabledDefense::kBudget},
-                                                     {"knocking", DisabledDefense::kKnocking},
-                                                     {"help", DisabledDefense::kHelp}};
+  const std::map<std::string, DisabledDefense> words{
+      {"refutation", DisabledDefense::kRefutation},    {"lives", DisabledDefense::kIncarnations},
+      {"local-health", DisabledDefense::kLocalHealth}, {"asking-again", DisabledDefense::kReconnect},
+      {"order", DisabledDefense::kGossipOrder},        {"budget", DisabledDefense::kBudget},
+      {"knocking", DisabledDefense::kConfirmation},    {"help", DisabledDefense::kIndirectProbes}};
   const char* update = Variable("POSTSPREAD_WITHOUT");
   if (update != nullptr) return words.at(update);
 #endif
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -4,163 +4,223 @@
 #include <xxhash.h>
 
 #include <utility>
+#include <variant>
 
 namespace postspread::membership {
 namespace {
 
 constexpr std::string_view kMagic{"PSV", 3};
 constexpr unsigned char kVersion = 1;
+constexpr std::size_t kVersionBytes = 1;
+constexpr std::size_t kGroupBytes = 4;
 constexpr std::size_t kChecksumBytes = 4;
-constexpr std::uint64_t kMostNumber = (1ULL << 53) - 1;  // of any varint: what is above is no value of ours
+constexpr std::uint64_t kMaxVarint = (1ULL << 53) - 1;  // no field that is sent exceeds it
+constexpr int kMaxVarintBits = 56;                      // eight bytes of seven bits
 constexpr std::uint32_t kMaxRefutations = 1U << 30;
-constexpr XXH64_hash_t kMemberSeed = 0x766965;
 
-void Put32(std::uint32_t value, std::string& out) {
-  for (int i = 0; i < 4; ++i, value >>= 8) out += static_cast<char>(value & 0xff);
-}
+// The first byte of an entry: kind in bit 7, state in bits 5 and 6, length of the name below.
+constexpr unsigned kGossipBit = 0x80;
+constexpr unsigned kStateShift = 5;
+constexpr unsigned kStateMask = 3;
+constexpr unsigned kNameMask = 0x1f;
+
 void Put16(std::uint16_t value, std::string& out) {
   out += static_cast<char>(value & 0xff);
   out += static_cast<char>(value >> 8);
 }
+
+void Put32(std::uint32_t value, std::string& out) {
+  Put16(static_cast<std::uint16_t>(value & 0xffff), out);
+  Put16(static_cast<std::uint16_t>(value >> 16), out);
+}
+
 void PutVarint(std::uint64_t value, std::string& out) {
   for (; value >= 0x80; value >>= 7) out += static_cast<char>((value & 0x7f) | 0x80);
   out += static_cast<char>(value);
 }
-void PutEntry(std::string_view name, PeerId peer, const MemberUpdate& update, bool news, std::string& out) {
-  out += static_cast<char>(name.size() | static_cast<std::size_t>(update.state) << 5 | (news ? 0x80U : 0U));
+
+void PutEntry(std::string_view name, PeerId peer, const MemberUpdate& update, EntryKind kind,
+              std::string& out) {
+  const unsigned state = static_cast<unsigned>(update.state) << kStateShift;
+  const unsigned gossip = kind == EntryKind::kGossip ? kGossipBit : 0;
+  out += static_cast<char>(name.size() | state | gossip);
   out += name;
   PutVarint(peer, out);
   PutVarint(update.incarnation, out);
   PutVarint(update.refutations, out);
 }
 
+void PutEntry(const Entry& entry, std::string& out) {
+  PutEntry(entry.name, entry.peer, entry.update, entry.kind, out);
+}
+
+// The fields that only messages of one type have.
+struct PutBody {
+  std::string& out;
+
+  void operator()(const Exchange& exchange) const {
+    PutVarint(exchange.from, out);
+    for (const std::uint16_t bucket : exchange.buckets) Put16(bucket, out);
+  }
+  void operator()(const PingRequest& request) const { PutEntry(request.target, out); }
+  void operator()(const Ping&) const {}
+  void operator()(const Ack&) const {}
+  void operator()(const Nack&) const {}
+  void operator()(const Gossip&) const {}
+};
+
+// Decodes fields in turn. After the first invalid one it is not sound and returns zeros.
 class Scanner {
  public:
   explicit Scanner(std::string_view bytes) : rest_(bytes) {}
+
   [[nodiscard]] bool empty() const { return rest_.empty(); }
   [[nodiscard]] bool sound() const { return sound_; }
-  std::string_view Take(std::size_t size) {
-    if (rest_.size() < size) return Cut(), std::string_view{};
+
+  std::string_view ReadBytes(std::size_t size) {
+    if (rest_.size() < size) {
+      Reject();
+      return {};
+    }
     const std::string_view out = rest_.substr(0, size);
     rest_.remove_prefix(size);
     return out;
   }
-  unsigned char Byte() {
-    const std::string_view out = Take(1);
+
+  unsigned char Read8() {
+    const std::string_view out = ReadBytes(1);
     return out.empty() ? 0 : static_cast<unsigned char>(out[0]);
   }
-  std::uint32_t Number32() {
+
+  std::uint16_t Read16() {
+    const std::uint16_t low = Read8();
+    return static_cast<std::uint16_t>(low | Read8() << 8);
+  }
+
+  std::uint32_t Read32() {
     std::uint32_t out = 0;
-    const std::string_view bytes = Take(4);
+    const std::string_view bytes = ReadBytes(4);
     for (std::size_t i = bytes.size(); i-- > 0;) out = out << 8 | static_cast<unsigned char>(bytes[i]);
     return out;
   }
-  std::uint64_t Varint() {
+
+  std::uint64_t ReadVarint(std::uint64_t max = kMaxVarint) {
     std::uint64_t out = 0;
-    for (int shift = 0; shift < 56; shift += 7) {
-      const unsigned char byte = Byte();
+    for (int shift = 0; shift < kMaxVarintBits; shift += 7) {
+      const unsigned char byte = Read8();
       out |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
-      if ((byte & 0x80) == 0) return out <= kMostNumber ? out : (Cut(), 0);
+      if ((byte & 0x80) != 0) continue;
+      if (out <= max) return out;
+      break;
     }
-    return Cut(), 0;
+    Reject();
+    return 0;
   }
+
   Entry ReadEntry() {
     Entry out;
-    const unsigned char head = Byte();
-    out.update.state = static_cast<State>(head >> 5 & 3);
-    const std::size_t size = head & 0x1f;
-    out.news = (head & 0x80) != 0;
-    if (size == 0 || out.update.state == State::kSuspect) Cut();
-    out.name = Take(size);
-    out.peer = Varint();
-    out.update.incarnation = Varint();
-    const std::uint64_t refutations = Varint();
-    if (refutations > kMaxRefutations) Cut();
-    out.update.refutations = static_cast<std::uint32_t>(refutations);
+    const unsigned head = Read8();
+    out.update.state = static_cast<State>(head >> kStateShift & kStateMask);
+    out.kind = (head & kGossipBit) != 0 ? EntryKind::kGossip : EntryKind::kSync;
+    const std::size_t name_size = head & kNameMask;
+    if (name_size == 0 || out.update.state == State::kSuspect) Reject();
+    out.name = ReadBytes(name_size);
+    out.peer = ReadVarint();
+    out.update.incarnation = ReadVarint();
+    out.update.refutations = static_cast<std::uint32_t>(ReadVarint(kMaxRefutations));
     return out;
   }
 
+  // The body of the type with this code, empty if there is none such.
+  void ReadBody(Message& out, unsigned char type) {
+    switch (type) {
+      case 0:
+        out.body = Ping{};
+        break;
+      case 1:
+        out.body = ReadExchange();
+        break;
+      case 2:
+        out.body = Ack{};
+        break;
+      case 3:
+        out.body = Nack{};
+        break;
+      case 4:
+        out.body = PingRequest{ReadEntry()};
+        break;
+      case 5:
+        out.body = Gossip{};
+        break;
+      default:
+        Reject();
+    }
+  }
+
  private:
-  void Cut() {
+  Exchange ReadExchange() {
+    Exchange out;
+    out.from = static_cast<SyncPosition>(ReadVarint(0xffff));
+    for (std::uint16_t& bucket : out.buckets) bucket = Read16();
+    return out;
+  }
+
+  void Reject() {
     sound_ = false;
     rest_ = {};
   }
+
   std::string_view rest_;
   bool sound_ = true;
 };
 
 }  // namespace
 
-std::uint32_t DigestGroup(std::string_view name) { return XXH32(name.data(), name.size(), 0); }
-
-std::uint64_t DigestMember(std::string_view name, std::uint64_t incarnation) {
-  return XXH3_64bits_withSeed(name.data(), name.size(), kMemberSeed + incarnation);
-}
-
-std::uint64_t OrderIn(std::uint64_t period, std::uint64_t name_digest) {
-  const std::uint64_t updates[] = {period, name_digest};
-  return XXH3_64bits(updates, sizeof updates);
-}
-
-Writer::Writer(std::uint32_t fleet, const Message& head, std::size_t size) : fleet_(fleet), size_(size) {
+Writer::Writer(std::uint32_t group, const Message& head, std::size_t size) : group_(group), size_(size) {
   out_ = kMagic;
   out_ += static_cast<char>(kVersion);
-  Put32(fleet, out_);
-  out_ += static_cast<char>(head.kind);
+  Put32(group, out_);
+  out_ += static_cast<char>(head.body.index());  // the type's code: see Scanner::ReadBody
   PutVarint(head.number, out_);
-  Put32(head.view, out_);
-  PutEntry(head.sender.name, 0, head.sender.update, head.sender.news, out_);
-  if (head.kind == Kind::kExchange) {
-    PutVarint(head.from, out_);
-    for (const std::uint16_t part : head.parts) Put16(part, out_);
-  }
-  if (head.kind == Kind::kAskFor)
-    PutEntry(head.target.name, head.target.peer, head.target.update, false, out_);
+  Put32(head.view_hash, out_);
+  PutEntry(head.sender.name, 0, head.sender.update, head.sender.kind, out_);
+  std::visit(PutBody{out_}, head.body);
 }
 
-bool Writer::Add(std::string_view name, PeerId peer, const MemberUpdate& update, bool news) {
+bool Writer::Add(std::string_view name, PeerId peer, const MemberUpdate& update, EntryKind kind) {
   const std::size_t before = out_.size();
-  PutEntry(name, peer, update, news, out_);
+  PutEntry(name, peer, update, kind, out_);
   if (out_.size() + kChecksumBytes <= size_) return true;
   out_.resize(before);
   return false;
 }
 
 std::string Writer::Seal() && {
-  Put32(XXH32(out_.data(), out_.size(), fleet_), out_);
+  Put32(XXH32(out_.data(), out_.size(), group_), out_);
   return std::move(out_);
 }
 
-Fault Read(std::string_view bytes, std::uint32_t fleet, Message& out) {
-  if (bytes.substr(0, kMagic.size()) != kMagic) return Fault::kNotOurs;
-  if (bytes.size() < kMagic.size() + 1 + 4 + kChecksumBytes) return Fault::kUnreadable;
-  if (static_cast<unsigned char>(bytes[kMagic.size()]) > kVersion) return Fault::kFuture;
-  Scanner in(bytes.substr(kMagic.size(), bytes.size() - kMagic.size() - kChecksumBytes));
-  if (in.Byte() != kVersion) return Fault::kUnreadable;
-  if (in.Number32() != fleet) return Fault::kForeign;
+ReadError Read(std::string_view bytes, std::uint32_t group, Message& out) {
+  if (bytes.substr(0, kMagic.size()) != kMagic) return ReadError::kOtherSubsystem;
+  if (bytes.size() < kMagic.size() + kVersionBytes + kGroupBytes + kChecksumBytes) {
+    return ReadError::kUnreadable;
+  }
+  if (static_cast<unsigned char>(bytes[kMagic.size()]) > kVersion) return ReadError::kLaterVersion;
   const std::string_view body = bytes.substr(0, bytes.size() - kChecksumBytes);
-  if (Scanner(bytes.substr(body.size())).Number32() != XXH32(body.data(), body.size(), fleet)) {
-    return Fault::kUnreadable;
+  Scanner in(body.substr(kMagic.size()));
+  if (in.Read8() != kVersion) return ReadError::kUnreadable;
+  if (in.Read32() != group) return ReadError::kForeignGroup;
+  if (Scanner(bytes.substr(body.size())).Read32() != XXH32(body.data(), body.size(), group)) {
+    return ReadError::kUnreadable;
   }
-  const unsigned char kind = in.Byte();
-  if (kind > static_cast<unsigned char>(Kind::kGossip)) return Fault::kUnreadable;
-  out.kind = static_cast<Kind>(kind);
-  out.number = in.Varint();
-  out.view = in.Number32();
+  const unsigned char type = in.Read8();
+  out.number = in.ReadVarint();
+  out.view_hash = in.Read32();
   out.sender = in.ReadEntry();
-  if (out.kind == Kind::kExchange) {
-    const std::uint64_t from = in.Varint();
-    if (from > 0xffff) return Fault::kUnreadable;
-    out.from = static_cast<std::uint16_t>(from);
-    for (std::uint16_t& part : out.parts) {
-      part = in.Byte();
-      part = static_cast<std::uint16_t>(part | in.Byte() << 8);
-    }
-  }
-  if (out.kind == Kind::kAskFor) out.target = in.ReadEntry();
+  in.ReadBody(out, type);
   out.entries.clear();
   while (in.sound() && !in.empty()) out.entries.push_back(in.ReadEntry());
-  return in.sound() ? Fault::kNone : Fault::kUnreadable;
+  return in.sound() ? ReadError::kNone : ReadError::kUnreadable;
 }
 
 }  // namespace postspread::membership
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -227,7 +227,7 @@
     line += change.by_self ? ", seen here" : ", heard";
     actions_.emplace_back(LogEvent{line + ", life " + std::to_string(change.incarnation)});
   }
-  for (std::string& note : membership_->TakeNotes())
+  for (std::string& note : membership_->TakeLogLines())
     actions_.emplace_back(LogEvent{"fleet: " + std::move(note)});
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -52,35 +52,35 @@
 
 TEST_CASE("datagrams of the view of the fleet keep their bytes") {
   using namespace membership;
-  const Entry own{"gate-0", 3, {1'700'000'000'000, 5, State::kAlive}, true};
+  const Entry own{"gate-0", 3, {1'700'000'000'000, 5, State::kAlive}, EntryKind::kGossip};
   const auto sealed = [&own](Message head) {
     head.number = 300;
-    head.view = 0x01020304;
+    head.view_hash = 0x01020304;
     head.sender = own;
     Writer writer(DigestGroup("fleet"), head, 256);
-    CHECK(writer.Add("gate-1", 4, {1'700'000'000'001, 6, State::kDead}, true));
-    CHECK(writer.Add("gate-2", 5, {1'700'000'000'002, 0, State::kLeft}, false));
+    CHECK(writer.Add("gate-1", 4, {1'700'000'000'001, 6, State::kDead}, EntryKind::kGossip));
+    CHECK(writer.Add("gate-2", 5, {1'700'000'000'002, 0, State::kLeft}, EntryKind::kSync));
     return Hex(std::move(writer).Seal());
   };
-  Message exchange{.kind = Kind::kExchange, .from = 0x8001};
-  for (std::size_t i = 0; i < kParts; ++i) exchange.parts[i] = static_cast<std::uint16_t>(i * 257);
-  CHECK(sealed({.kind = Kind::kPing}) ==
+  Exchange exchange{.from = 0x8001};
+  for (std::size_t i = 0; i < kBuckets; ++i) exchange.buckets[i] = static_cast<std::uint16_t>(i * 257);
+  CHECK(sealed({.body = Ping{}}) ==
         "50535601628bbd1f00ac020403020186676174652d300080d095ffbc3105c6676174652d310481d095ffbc31"
         "0666676174652d320582d095ffbc3100a6108d11");
-  CHECK(sealed(exchange) ==
+  CHECK(sealed({.body = exchange}) ==
         "50535601628bbd1f01ac020403020186676174652d300080d095ffbc31058180020000010102020303040405"
         "0506060707080809090a0a0b0b0c0c0d0d0e0e0f0fc6676174652d310481d095ffbc310666676174652d3205"
         "82d095ffbc31001f797c67");
-  CHECK(sealed({.kind = Kind::kAck}) ==
+  CHECK(sealed({.body = Ack{}}) ==
         "50535601628bbd1f02ac020403020186676174652d300080d095ffbc3105c6676174652d310481d095ffbc31"
         "0666676174652d320582d095ffbc3100a7ab969c");
-  CHECK(sealed({.kind = Kind::kNack}) ==
+  CHECK(sealed({.body = Nack{}}) ==
         "50535601628bbd1f03ac020403020186676174652d300080d095ffbc3105c6676174652d310481d095ffbc31"
         "0666676174652d320582d095ffbc310028a77c1f");
-  CHECK(sealed({.kind = Kind::kAskFor, .target = {"gate-3", 6, {1'700'000'000'003, 1}, false}}) ==
+  CHECK(sealed({.body = PingRequest{{"gate-3", 6, {1'700'000'000'003, 1}}}}) ==
         "50535601628bbd1f04ac020403020186676174652d300080d095ffbc310506676174652d330683d095ffbc31"
         "01c6676174652d310481d095ffbc310666676174652d320582d095ffbc3100d34e1069");
-  CHECK(sealed({.kind = Kind::kGossip}) ==
+  CHECK(sealed({.body = Gossip{}}) ==
         "50535601628bbd1f05ac020403020186676174652d300080d095ffbc3105c6676174652d310481d095ffbc31"
         "0666676174652d320582d095ffbc31001c783b41");
 }
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -673,7 +673,8 @@
     rig.ReadMetrics();
     const double before = rig.Metric(0, "svc_fleet_datagrams_sent");
     membership::Message ask;
-    ask.sender = {"gk-1", 0, {rig.incarnation(1), 0, membership::State::kAlive}, true};
+    ask.sender = {
+        "gk-1", 0, {rig.incarnation(1), 0, membership::State::kAlive}, membership::EntryKind::kGossip};
     const std::string bytes = membership::Writer(membership::DigestGroup("rig"), ask, 256).Seal();
     for (int i = 0; i < 100; ++i) {
       for (int n = 0; n < 20; ++n) rig.datagrams().Inject(1, 0, bytes);
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -1,18 +1,21 @@
-// Any number of views of one fleet in modelled time: datagrams that are lost, doubled, late and out of order,
-// cuts by pair and direction, processes that are killed, started again, stopped and continued, clocks that
-// disagree. One seed, one thread; the same seed gives the same run.
+// Any number of members of one group in virtual time: datagrams that are lost, duplicated, delayed and
+// reordered, partitions by pair and direction, processes that are killed, restarted, suspended and resumed,
+// clocks that disagree. One seed, one thread; the same seed gives the same run.
 #ifndef POSTSPREAD_TESTS_MEMBERSHIP_MODEL_H_
 #define POSTSPREAD_TESTS_MEMBERSHIP_MODEL_H_
 
+#include <algorithm>
 #include <cstdint>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <queue>
 #include <random>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "membership/digest.h"
 #include "membership/membership.h"
 
 namespace postspread::membership::testing {
@@ -21,25 +24,40 @@
 using std::chrono::seconds;
 
 struct Faults {
-  double loss = 0, doubled = 0;
-  Duration least_delay{1'000}, most_delay{24'000};
+  double loss = 0;     // probability that a datagram is lost
+  double doubled = 0;  // ... or delivered twice
+  Duration least_delay{1'000};
+  Duration most_delay{24'000};
 };
 
+inline constexpr Faults kCalm{};
+inline constexpr Faults kLossy{.loss = 0.1, .doubled = 0.02};
+
+inline std::vector<int> Range(int from, int to) {
+  std::vector<int> out;
+  for (int i = from; i < to; ++i) out.push_back(i);
+  return out;
+}
+
+// The value of Model::cut without a partition.
+inline bool NoCut(int /*from*/, int /*to*/) { return false; }
+
 class Model {
  public:
   Model(int members, std::uint64_t seed, Limits limits = {}, Faults faults = {},
         DisabledDefense disabled = DisabledDefense::kNothing)
-      : faults(faults), limits_(std::move(limits)), without_(disabled), random_(seed) {
+      : faults(faults), limits_(std::move(limits)), disabled_(disabled), random_(seed) {
     limits_.enabled = true;
     for (int i = 0; i < members; ++i) nodes_.push_back(std::make_unique<Node>());
   }
 
   Faults faults;
-  std::function<bool(int from, int to)> cut = [](int, int) { return false; };
-  // Places that a process knows when it starts; by default all.
+  // Whether datagrams from one member to another are dropped.
+  std::function<bool(int from, int to)> cut = NoCut;
+  // Addresses that a process knows when it starts; by default all.
   std::function<std::vector<PeerId>(int)> seeds = [this](int) {
     std::vector<PeerId> out;
-    out.reserve(size());
+    out.reserve(nodes_.size());
     for (int i = 0; i < size(); ++i) out.push_back(static_cast<PeerId>(i));
     return out;
   };
@@ -51,53 +69,57 @@
   std::mt19937_64& random() { return random_; }
   double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-  Membership& fleet(int i) { return *node(i).fleet; }
-  [[nodiscard]] bool alive(int i) const { return nodes_[static_cast<std::size_t>(i)]->fleet != nullptr; }
+  Membership& member(int i) { return *node(i).member; }
+  [[nodiscard]] bool alive(int i) const { return nodes_[static_cast<std::size_t>(i)]->member != nullptr; }
+
+  // `skew`: of the process's clock.
   void Start(int i, Duration skew = Duration(0)) {
-    Node& n = node(i);
-    n.skew = skew;
-    n.stopped = false;
-    n.inbox.clear();
-    const TimePoint here = now_ + skew;
+    Node& started = node(i);
+    started.skew = skew;
+    started.suspended = false;
+    started.inbox.clear();
+    const TimePoint local = now_ + skew;
     const auto incarnation =
-        static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(here).count());
-    n.fleet =
-        std::make_unique<Membership>(Membership::Self{name(i), static_cast<PeerId>(i), incarnation, false},
-                                     seeds(i), limits_, random_(), here, without_);
-    ++n.epoch;
-    Carry(i);
+        static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(local).count());
+    const Self self{name(i), static_cast<PeerId>(i), incarnation, false};
+    started.member = std::make_unique<Membership>(self, seeds(i), limits_, random_(), local, disabled_);
+    ++started.process;
+    CarryOut(i);
   }
   void StartAll() {
     for (int i = 0; i < size(); ++i) Start(i);
   }
   void Kill(int i) {
-    node(i).fleet.reset();
-    ++node(i).epoch;
+    node(i).member.reset();
+    ++node(i).process;
   }
-  // As a process that is told to end does: says so, and goes on for half a second.
+  // Graceful shutdown: announces the leave, and ends half a second later.
   void Leave(int i) {
-    fleet(i).Leave(Here(i));
-    Carry(i);
-    const std::uint64_t epoch = node(i).epoch;
-    Later(milliseconds(500), [this, i, epoch] {
-      if (node(i).epoch == epoch) Kill(i);
+    member(i).Leave(LocalTime(i));
+    CarryOut(i);
+    const std::uint64_t process = node(i).process;
+    Schedule(milliseconds(500), [this, i, process] {
+      if (node(i).process == process) Kill(i);
     });
   }
-  void Stop(int i) { node(i).stopped = true; }
+  // The process is not scheduled until Continue; datagrams wait in its socket.
+  void Stop(int i) { node(i).suspended = true; }
   void Continue(int i) {
-    Node& n = node(i);
-    n.stopped = false;
-    for (auto& [from, bytes] : std::exchange(n.inbox, {})) Deliver(from, i, bytes);
-    Ticks(i);
+    Node& resumed = node(i);
+    resumed.suspended = false;
+    for (const Delivery& delivery : std::exchange(resumed.inbox, {})) {
+      Deliver(delivery.from, i, delivery.bytes);
+    }
+    Tick(i);
   }
-  void Later(Duration after, std::function<void()> what) {
-    events_.push({now_ + after, order_++, std::move(what)});
+  void Schedule(Duration after, std::function<void()> action) {
+    events_.push({now_ + after, next_event_++, std::move(action)});
   }
-  // Hands bytes to a member as though they came from that place.
+  // Hands bytes to a member as though they came from that address.
   void Inject(int to, PeerId from, const std::string& bytes) {
     if (!alive(to)) return;
-    fleet(to).Received(from, bytes, Here(to));
-    Carry(to);
+    member(to).Received(from, bytes, LocalTime(to));
+    CarryOut(to);
   }
 
   void Run(Duration span) {
@@ -106,11 +128,11 @@
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
-      event.what();
+      event.action();
     }
     now_ = until;
   }
-  // Runs until it holds, looked at each beat; periods that it took, or -1 after `most`.
+  // Runs until the condition holds, checked each tick. Returns the periods that took, or -1 after `most`.
   double Until(const std::function<bool()>& holds, double most) {
     const TimePoint begun = now_;
     const auto periods = [&] {
@@ -123,14 +145,11 @@
     return periods();
   }
 
-  // What each of `side` ought to hold: these and their lives.
+  // Whether the views of these members hold exactly these members as live, in their incarnations.
   bool Agree(const std::vector<int>& side) {
-    std::uint64_t wanted = 0;
-    for (const int i : side) wanted ^= DigestMember(fleet(i).name(), fleet(i).incarnation());
-    for (const int i : side) {
-      if (fleet(i).hash() != wanted) return false;
-    }
-    return true;
+    std::uint64_t expected = 0;
+    for (const int i : side) expected ^= DigestMember(member(i).name(), member(i).incarnation());
+    return std::all_of(side.begin(), side.end(), [&](int i) { return member(i).hash() == expected; });
   }
   [[nodiscard]] std::vector<int> Living() const {
     std::vector<int> out;
@@ -140,95 +159,109 @@
     return out;
   }
   bool AllAgree() { return Agree(Living()); }
-  // Whether `i` is in the view of anybody that lives.
+  // Whether any live member's view holds `i` as live.
   bool SeenByAny(int i) {
     for (const int other : Living()) {
       if (other == i) continue;
-      const std::optional<MemberUpdate> update = fleet(other).At(static_cast<PeerId>(i));
+      const std::optional<MemberUpdate> update = member(other).At(static_cast<PeerId>(i));
       if (update && IsLive(update->state)) return true;
     }
     return false;
   }
 
-  // Of all members and lives so far.
-  std::uint64_t sent = 0, bytes = 0, largest = 0, false_deaths = 0, deaths = 0;
+  // Of all members and processes so far.
+  std::uint64_t sent = 0;
+  std::uint64_t bytes = 0;
+  std::uint64_t largest = 0;  // datagram, in bytes
+  std::uint64_t deaths = 0;
+  std::uint64_t false_deaths = 0;  // of a live member that could be reached
 
  private:
+  static constexpr std::size_t kMaxInbox = 256;  // datagrams
+
+  struct Delivery {
+    int from = 0;
+    std::string bytes;
+  };
   struct Node {
-    std::unique_ptr<Membership> fleet;
-    std::uint64_t epoch = 0;
+    std::unique_ptr<Membership> member;
+    std::uint64_t process = 0;  // counts starts and ends, so that events of an earlier one are ignored
     Duration skew{0};
-    bool stopped = false;
-    std::vector<std::pair<int, std::string>> inbox;  // while stopped
-    TimePoint ticks_at{0};
+    bool suspended = false;
+    std::vector<Delivery> inbox;  // while suspended
+    TimePoint next_tick{0};
   };
   struct Event {
     TimePoint at{0};
     std::uint64_t order = 0;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
+
   Node& node(int i) { return *nodes_[static_cast<std::size_t>(i)]; }
-  TimePoint Here(int i) { return now_ + node(i).skew; }
-
-  void Carry(int i) {
-    Node& n = node(i);
-    for (Membership::Datagram& d : n.fleet->TakeDatagrams()) {
-      ++sent;
-      bytes += d.bytes.size();
-      largest = std::max<std::uint64_t>(largest, d.bytes.size());
-      const int to = static_cast<int>(d.to);
-      if (to < 0 || to >= size() || cut(i, to) || Chance() < faults.loss) continue;
-      for (int copies = Chance() < faults.doubled ? 2 : 1; copies > 0; --copies) {
-        const auto spread = static_cast<std::uint64_t>((faults.most_delay - faults.least_delay).count()) + 1;
-        const Duration delay = faults.least_delay + Duration(static_cast<std::int64_t>(random_() % spread));
-        Later(delay, [this, i, to, bytes = d.bytes] { Deliver(i, to, bytes); });
-      }
+  TimePoint LocalTime(int i) { return now_ + node(i).skew; }
+
+  // What the member wants sent, and the deaths that it has declared.
+  void CarryOut(int i) {
+    Membership& sender = member(i);
+    for (const Datagram& datagram : sender.TakeDatagrams()) Send(i, datagram);
+    for (const Change& change : sender.TakeChanges()) {
+      if (change.to == State::kDead && change.by_self) CountDeath(i, change);
+    }
+    ScheduleTick(i);
+  }
+  void Send(int from, const Datagram& datagram) {
+    ++sent;
+    bytes += datagram.bytes.size();
+    largest = std::max<std::uint64_t>(largest, datagram.bytes.size());
+    const int to = static_cast<int>(datagram.to);
+    if (to < 0 || to >= size() || cut(from, to) || Chance() < faults.loss) return;
+    for (int copies = Chance() < faults.doubled ? 2 : 1; copies > 0; --copies) {
+      const auto spread = static_cast<std::uint64_t>((faults.most_delay - faults.least_delay).count()) + 1;
+      const Duration delay = faults.least_delay + Duration(static_cast<std::int64_t>(random_() % spread));
+      Schedule(delay, [this, from, to, bytes = datagram.bytes] { Deliver(from, to, bytes); });
     }
-    for (const Change& change : n.fleet->TakeChanges()) {
-      if (change.to != State::kDead || !change.by_self) continue;
-      ++deaths;
-      for (int other = 0; other < size(); ++other) {
-        // Across a cut it is a death for all that this side can know.
-        if (cut(i, other) || cut(other, i)) continue;
-        if (name(other) == change.name && alive(other) && fleet(other).incarnation() == change.incarnation)
-          ++false_deaths;
-      }
+  }
+  void CountDeath(int observer, const Change& change) {
+    ++deaths;
+    for (int other = 0; other < size(); ++other) {
+      // Across a partition it is a death for all that this side can know.
+      if (cut(observer, other) || cut(other, observer)) continue;
+      if (name(other) != change.name || !alive(other)) continue;
+      if (member(other).incarnation() == change.incarnation) ++false_deaths;
     }
-    Schedule(i);
   }
   void Deliver(int from, int to, const std::string& bytes) {
-    Node& n = node(to);
-    if (!n.fleet) return;
-    if (n.stopped) {
-      if (n.inbox.size() < 256) n.inbox.emplace_back(from, bytes);
+    Node& receiver = node(to);
+    if (!receiver.member) return;
+    if (receiver.suspended) {
+      if (receiver.inbox.size() < kMaxInbox) receiver.inbox.push_back({from, bytes});
       return;
     }
-    n.fleet->Received(static_cast<PeerId>(from), bytes, Here(to));
-    Carry(to);
-  }
-  void Schedule(int i) {
-    Node& n = node(i);
-    const TimePoint at = n.fleet->NextTick() - n.skew;
-    if (at == n.ticks_at) return;
-    n.ticks_at = at;
-    const std::uint64_t epoch = n.epoch;
-    events_.push({std::max(at, now_), order_++, [this, i, epoch, at] {
-                    if (node(i).epoch == epoch && node(i).ticks_at == at) Ticks(i);
-                  }});
-  }
-  void Ticks(int i) {
-    Node& n = node(i);
-    if (!n.fleet || n.stopped) return;
-    n.fleet->Tick(Here(i));
-    Carry(i);
+    receiver.member->Received(static_cast<PeerId>(from), bytes, LocalTime(to));
+    CarryOut(to);
+  }
+  void ScheduleTick(int i) {
+    Node& ticking = node(i);
+    const TimePoint at = ticking.member->NextTick() - ticking.skew;
+    if (at == ticking.next_tick) return;
+    ticking.next_tick = at;
+    Schedule(std::max(at, now_) - now_, [this, i, at, process = ticking.process] {
+      if (node(i).process == process && node(i).next_tick == at) Tick(i);
+    });
+  }
+  void Tick(int i) {
+    Node& ticking = node(i);
+    if (!ticking.member || ticking.suspended) return;
+    ticking.member->Tick(LocalTime(i));
+    CarryOut(i);
   }
 
   Limits limits_;
-  DisabledDefense without_;
+  DisabledDefense disabled_;
   std::mt19937_64 random_;
-  TimePoint now_{std::chrono::hours(24 * 365 * 56)};
-  std::uint64_t order_ = 0;
+  TimePoint now_{std::chrono::hours(24 * 365 * 56)};  // since the epoch: a date of this century
+  std::uint64_t next_event_ = 0;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::priority_queue<Event> events_;
 };
