--- a/src/discovery/discovery_schedule.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -7,29 +7,36 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kRefusedShare{200};             // a gateway's part of the five calls a second
-constexpr double kLeastShare = 0.5, kMostShare = 1.5;  // of the mean pause: chance, so that none go in step
-
-milliseconds Up(std::chrono::microseconds time) { return std::chrono::ceil<milliseconds>(time); }
+constexpr milliseconds kGroupInterval{200};  // between two calls of a group that was refused
+// Jitter, as factors of the mean backoff, so that gateways are out of step.
+constexpr double kMinJitter = 0.5;
+constexpr double kMaxJitter = 1.5;
 
 }  // namespace
 
 DiscoverySchedule::DiscoverySchedule(std::chrono::microseconds dial_timeout, int group_size,
                                      std::uint64_t seed)
-    : dial_(std::min<std::chrono::microseconds>(dial_timeout, kMostDial)),
-      mean_(kRefusedShare * std::max(1, group_size)),
+    : dial_timeout_(std::min<std::chrono::microseconds>(dial_timeout, kMaxDial)),
+      mean_backoff_(kGroupInterval * std::max(1, group_size)),
       random_(seed) {}
 
 milliseconds DiscoverySchedule::Refused() {
-  fault_ = true;
-  // What the bound leaves for the pause: see the ways in the header.
-  const milliseconds dial = Up(dial_), failed = dial + kShortWait + kOverdue, told = dial + kOverdue;
-  const milliseconds after_silence = kTold - kSpare - (kWait + kOverdue) - kRedial - failed - told;
-  const milliseconds again = (kTold - kSpare - failed - told) / 2;
-  const milliseconds most = refused_++ == 0 ? after_silence : again;
-  const auto mean = std::min(mean_, std::chrono::floor<milliseconds>(most / kMostShare));
-  const double share = std::uniform_real_distribution<double>(kLeastShare, kMostShare)(random_);
-  return std::chrono::floor<milliseconds>(mean * share);
+  const auto max_mean = std::chrono::floor<milliseconds>(MaxBackoff() / kMaxJitter);
+  after_fault_ = true;
+  ++refusals_;
+  const double jitter = std::uniform_real_distribution<double>(kMinJitter, kMaxJitter)(random_);
+  return std::chrono::floor<milliseconds>(std::min(mean_backoff_, max_mean) * jitter);
+}
+
+// What the sequences of events in the header leave for it.
+milliseconds DiscoverySchedule::MaxBackoff() const {
+  const auto dial = std::chrono::ceil<milliseconds>(dial_timeout_);
+  const milliseconds refused_call = dial + kShortWait + kOverdue;
+  const milliseconds answered_call = dial + kOverdue;
+  const milliseconds available = kChangeDeadline - kSpare - refused_call - answered_call;
+  if (refusals_ > 0) return available / 2;  // shared with the backoff before
+  const milliseconds silent_watch = kWait + kOverdue + kRedial;
+  return available - silent_watch;
 }
 
 }  // namespace postspread::discovery
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -67,10 +67,10 @@
   for (const Entry& entry : message.entries) merger_.Apply(entry, std::nullopt, now);
   const Incoming incoming{from, message, sync_.OnViewHash(message.view_hash, now), now};
   std::visit([&](const auto& body) { Handle(body, incoming); }, message.body);
-  // A live member that is held dead is notified at once: only itself can refute that.
+  // A live member that is considered dead is notified at once: only itself can refute that.
   MemberRecord* sender = table_.Find(message.sender.name);
-  const bool is_held_dead = sender != nullptr && sender->update.state == State::kDead;
-  if (is_held_dead && !is_former) NotifySubject(*sender, from, now);
+  const bool is_considered_dead = sender != nullptr && sender->update.state == State::kDead;
+  if (is_considered_dead && !is_former) NotifySubject(*sender, from, now);
   return true;
 }
 
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -169,15 +169,16 @@
   const bool by_pod = std::any_of(
       settings_.classes.begin(), settings_.classes.end(),
       [](const ClassSettings& c) { return c.repeat == Repeat::kKeyed && c.scope != Scope::kAll; });
-  std::vector<subsetting::Node> nodes;
+  std::vector<subsetting::Upstream> nodes;
   for (const auto& [name, upstream] : upstreams_) {
     nodes.push_back(
         {name, upstream.zone, upstream.cell, upstream.weight, upstream.state == UpstreamState::kReady});
   }
   std::unordered_set<std::string> chosen;
   for (const subsetting::Assignment& assignment :
-       subsetting::Subset(subsetting_, RingPosition(), settings_.zone, by_pod, nodes)) {
-    chosen.insert(nodes[assignment.node].name);
+       subsetting::Subset(subsetting_, RingPosition(), settings_.zone,
+                          by_pod ? subsetting::Grouping::kByCell : subsetting::Grouping::kSingle, nodes)) {
+    chosen.insert(nodes[assignment.upstream].name);
   }
   if (report.scope == EndpointUpdateKind::kChanges) {
     std::unordered_set<std::string> named;
--- a/src/subsetting/subset.cpp
+++ b/src/subsetting/subset.cpp
@@ -6,51 +6,107 @@
 #include <algorithm>
 #include <cmath>
 #include <map>
-#include <utility>
 
 namespace postspread::subsetting {
 namespace {
 
-// Where that many times the nodes that would be taken are all there are, all are taken: a part of few is no
-// gain.
-constexpr double kTakeAll = 1.5;
+// If that many times the required upstreams would exceed those that are ready, all are used: a subset of few
+// saves nothing.
+constexpr double kUseAllFactor = 1.5;
+constexpr double kLeastShare = 1e-9;  // what is below is a rounding error
 
 std::uint64_t Digest(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
-// Nodes that are taken or left together.
-struct Unit {
-  std::uint64_t order = 0;
+// Upstreams that are used or left out together.
+struct Group {
+  std::uint64_t order = 0;  // round the ring
   double weight = 0;
-  std::vector<std::size_t> nodes;
+  std::vector<std::size_t> upstreams;
 };
 
-// Units of a zone that an arc covers, as wide as `wanted` nodes at least.
-void Cover(const std::vector<Unit>& units, std::size_t wanted, std::size_t ready,
-           const RingPosition& position, std::vector<Assignment>& out) {
-  if (wanted == 0 || ready == 0) return;
+struct Zone {
+  std::vector<Group> groups;
+  std::map<std::int64_t, std::size_t> group_of_cell;  // index in `groups`
+  std::size_t ready = 0;
+};
+
+using Zones = std::map<std::string, Zone>;
+
+Group& GroupOf(const Upstream& upstream, Grouping grouping, Zone& zone) {
+  std::size_t index = zone.groups.size();
+  if (grouping == Grouping::kByCell)
+    index = zone.group_of_cell.try_emplace(upstream.cell, index).first->second;
+  if (index == zone.groups.size()) zone.groups.emplace_back();
+  return zone.groups[index];
+}
+
+// The ready upstreams by zone, in the order of the ring.
+Zones GroupByZone(Grouping grouping, const std::vector<Upstream>& upstreams) {
+  Zones zones;
+  for (std::size_t i = 0; i < upstreams.size(); ++i) {
+    const Upstream& upstream = upstreams[i];
+    if (!upstream.ready) continue;
+    Zone& zone = zones[upstream.zone];
+    ++zone.ready;
+    Group& group = GroupOf(upstream, grouping, zone);
+    group.order = grouping == Grouping::kByCell ? Digest("pod " + std::to_string(upstream.cell))
+                                                : Digest(upstream.name);
+    group.weight += upstream.weight > 0 ? upstream.weight : 1;
+    group.upstreams.push_back(i);
+  }
+  for (auto& [name, zone] : zones) {
+    std::sort(zone.groups.begin(), zone.groups.end(),
+              [](const Group& a, const Group& b) { return a.order < b.order; });
+  }
+  return zones;
+}
+
+// How many upstreams of each other zone are required: without zones, or with the own one lost, the others
+// take over what that would have contributed.
+std::size_t RequiredElsewhere(const Limits& limits, std::string_view own_zone, const Zones& zones) {
+  const auto own = zones.find(std::string(own_zone));
+  const bool has_own = own != zones.end();
+  const std::size_t own_ready = has_own ? own->second.ready : 0;
+  const std::size_t others = zones.size() - (has_own ? 1 : 0);
+  if (own_ready >= limits.least || others == 0) return limits.least;
+  return std::max(limits.least, (limits.nodes + others - 1) / others);
+}
+
+// The part of the ring that a gateway's arc has to cover so that it holds that many upstreams.
+double ArcWidth(std::size_t required, std::size_t ready, const RingPosition& position) {
   const auto all = static_cast<double>(ready);
-  const auto count = static_cast<double>(position.count);
-  double width = std::ceil(count * static_cast<double>(wanted) / all) / count;
-  if (all <= kTakeAll * static_cast<double>(wanted)) width = 1;
+  const auto gateways = static_cast<double>(position.count);
+  if (all <= kUseAllFactor * static_cast<double>(required)) return 1;
+  return std::ceil(gateways * static_cast<double>(required) / all) / gateways;
+}
+
+void Assign(const Group& group, double share, std::vector<Assignment>& out) {
+  for (const std::size_t upstream : group.upstreams) out.push_back({upstream, share});
+}
+
+// Adds the groups that the gateway's arc covers.
+void AssignArc(const Zone& zone, std::size_t required, const RingPosition& position,
+               std::vector<Assignment>& out) {
+  if (required == 0 || zone.ready == 0) return;
+  const double width = ArcWidth(required, zone.ready, position);
   if (width >= 1) {
-    for (const Unit& unit : units) {
-      for (const std::size_t node : unit.nodes) out.push_back({node, 1});
-    }
+    for (const Group& group : zone.groups) Assign(group, 1, out);
     return;
   }
   double total = 0;
-  for (const Unit& unit : units) total += unit.weight;
-  const double begin = static_cast<double>(position.index) / count, end = begin + width;
-  double at = 0;
-  for (const Unit& unit : units) {
-    const double from = at / total, to = (at + unit.weight) / total;
-    at += unit.weight;
-    // The arc may go round past the ring's end.
+  for (const Group& group : zone.groups) total += group.weight;
+  const double begin = static_cast<double>(position.index) / static_cast<double>(position.count);
+  const double end = begin + width;
+  double weight_before = 0;
+  for (const Group& group : zone.groups) {
+    const double from = weight_before / total;
+    const double to = (weight_before + group.weight) / total;
+    weight_before += group.weight;
+    // The arc may extend past the ring's end.
     const double covered = std::max(0.0, std::min(end, to) - std::max(begin, from)) +
                            std::max(0.0, std::min(end, to + 1) - std::max(begin, from + 1));
     const double share = covered / (to - from);
-    if (share < 1e-9) continue;
-    for (const std::size_t node : unit.nodes) out.push_back({node, std::min(1.0, share)});
+    if (share >= kLeastShare) Assign(group, std::min(1.0, share), out);
   }
 }
 
@@ -63,43 +119,18 @@
     if (member == own) continue;
     ++out.count;
     const std::uint64_t other = Digest(member);
-    out.index += other < digest || (other == digest && member < own);
+    if (other < digest || (other == digest && member < own)) ++out.index;
   }
   return out;
 }
 
 std::vector<Assignment> Subset(const Limits& limits, const RingPosition& position, std::string_view own_zone,
-                               bool by_pod, const std::vector<Node>& nodes) {
-  struct Zone {
-    std::vector<Unit> units;
-    std::size_t ready = 0;
-  };
-  std::map<std::string, Zone> zones;
-  std::map<std::pair<std::string, std::int64_t>, std::size_t> pods;  // place among the zone's units
-  for (std::size_t i = 0; i < nodes.size(); ++i) {
-    if (!nodes[i].ready) continue;
-    Zone& zone = zones[nodes[i].zone];
-    ++zone.ready;
-    std::size_t unit = zone.units.size();
-    if (by_pod) unit = pods.try_emplace({nodes[i].zone, nodes[i].pod}, unit).first->second;
-    if (unit == zone.units.size()) zone.units.emplace_back();
-    const std::uint64_t digest =
-        by_pod ? Digest("pod " + std::to_string(nodes[i].pod)) : Digest(nodes[i].name);
-    zone.units[unit].order = digest;
-    zone.units[unit].weight += nodes[i].weight > 0 ? nodes[i].weight : 1;
-    zone.units[unit].nodes.push_back(i);
-  }
-  const auto own = zones.find(std::string(own_zone));
-  const std::size_t own_ready = own == zones.end() ? 0 : own->second.ready;
-  const std::size_t others = zones.size() - (own == zones.end() ? 0 : 1);
-  // Without zones, or with the own one lost, the others carry what that would have.
-  std::size_t each = limits.least;
-  if (own_ready < limits.least && others > 0) each = std::max(each, (limits.nodes + others - 1) / others);
+                               Grouping grouping, const std::vector<Upstream>& upstreams) {
+  const Zones zones = GroupByZone(grouping, upstreams);
+  const std::size_t elsewhere = RequiredElsewhere(limits, own_zone, zones);
   std::vector<Assignment> out;
-  for (auto& [name, zone] : zones) {
-    std::sort(zone.units.begin(), zone.units.end(),
-              [](const Unit& a, const Unit& b) { return a.order < b.order; });
-    Cover(zone.units, name == own_zone ? limits.nodes : each, zone.ready, position, out);
+  for (const auto& [name, zone] : zones) {
+    AssignArc(zone, name == own_zone ? limits.nodes : elsewhere, position, out);
   }
   return out;
 }
--- a/src/usage/usage_table.cpp
+++ b/src/usage/usage_table.cpp
@@ -2,127 +2,147 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdlib>
 
 namespace postspread::usage {
 namespace {
 
-// A datagram is "PSD" and a version, then for each customer four bytes of its digest, little-endian, and one
-// of the level of its demand.
+// A datagram is "PSD" and a version, then for each customer its digest, u32 little-endian, and the level of
+// its demand, u8.
 constexpr std::string_view kMagic{"PSD\1", 4};
-constexpr std::size_t kEntryBytes = 5;
-
-constexpr double kPaceShare = 0.6;      // of what a gateway takes in: room for chance and other datagrams
-constexpr double kLevels = 8;           // of the demand's binary logarithm: steps of 9 %
-constexpr int kLevelOne = 64;           // the level of a demand of 1; the least is 1/256, the most 2^24
-constexpr double kNews = 1.25;          // a change by this factor is told ...
-constexpr double kListed = 1.0;         // ... of customers that ask for more than their rate, or did
-constexpr Duration kRetell{4'000'000};  // us: told again for those that started or lost it meanwhile
-constexpr Duration kLife{12'000'000};   // us after which an entry says nothing: three tellings were missed
+constexpr std::size_t kDigestBytes = 4;
+constexpr std::size_t kEntryBytes = kDigestBytes + 1;
+
+// Of the datagrams that a gateway can receive: the rest is for bursts and other subsystems.
+constexpr double kBudgetFraction = 0.6;
+constexpr double kLevelsPerDoubling = 8;            // steps of 9 %
+constexpr int kLevelOfOne = 64;                     // of a demand of 1; the range is 2^-8 to 2^24
+constexpr double kLeastDemand = 1e-9;               // has a logarithm
+constexpr double kSignificantFactor = 1.25;         // a change by it is broadcast at once
+constexpr double kTrackedDemand = 1.0;              // customers beyond their rate are tracked
+constexpr std::chrono::seconds kRepeatInterval{4};  // for gateways that have missed a broadcast
+constexpr std::chrono::seconds kExpiry{12};         // three broadcasts have been missed
 
 std::uint8_t ToLevel(double demand) {
-  const double level = kLevelOne + kLevels * std::log2(std::max(demand, 1e-9));
+  const double level = kLevelOfOne + kLevelsPerDoubling * std::log2(std::max(demand, kLeastDemand));
   return static_cast<std::uint8_t>(std::clamp(std::round(level), 0.0, 255.0));
 }
 
-double FromLevel(std::uint8_t level) { return std::exp2((level - kLevelOne) / kLevels); }
+double FromLevel(std::uint8_t level) { return std::exp2((level - kLevelOfOne) / kLevelsPerDoubling); }
 
-std::uint64_t Mix(std::uint64_t x) {  // splitmix64
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+// The mixing function of splitmix64.
+std::uint64_t Mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15ULL;
+  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
+  return value ^ (value >> 31);
 }
 
-}  // namespace
+void PutDigest(CustomerDigest customer, std::string& out) {
+  for (std::size_t i = 0; i < kDigestBytes; ++i) out += static_cast<char>(customer >> (8 * i) & 0xff);
+}
 
-void UsageTable::SetGroup(int size) {
-  if (datagrams_per_s_ <= 0) return;
-  const double seconds = (std::max(size, 2) - 1) / (kPaceShare * datagrams_per_s_);
-  pace_ = Duration(static_cast<std::int64_t>(seconds * 1e6));
+CustomerDigest GetDigest(std::string_view bytes) {
+  CustomerDigest out = 0;
+  for (std::size_t i = kDigestBytes; i-- > 0;) out = out << 8 | static_cast<unsigned char>(bytes[i]);
+  return out;
 }
 
+}  // namespace
+
 UsageTable::UsageTable(const UsageOptions& options, TimePoint now) {
   if (options.datagrams_per_s <= 0 || options.group_size < 2) return;
   datagrams_per_s_ = options.datagrams_per_s;
   SetGroup(options.group_size);
-  next_at_ =
-      now +
-      Duration(static_cast<std::int64_t>(Mix(options.seed) % static_cast<std::uint64_t>(pace_.count())));
+  const std::uint64_t phase = Mix(options.seed) % static_cast<std::uint64_t>(interval_.count());
+  next_turn_ = now + Duration(static_cast<std::int64_t>(phase));
 }
 
-UsageTable::Entry& UsageTable::Find(std::uint32_t customer, TimePoint now) {
-  if (entries_.size() >= kMaxEntries && !entries_.contains(customer)) {
-    const auto oldest = std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
-      return a.second.at < b.second.at;
-    });
-    entries_.erase(oldest);
-  }
+void UsageTable::SetGroup(int size) {
+  if (datagrams_per_s_ <= 0) return;
+  const double seconds = (std::max(size, 2) - 1) / (kBudgetFraction * datagrams_per_s_);
+  interval_ = Duration(static_cast<std::int64_t>(seconds * 1e6));
+}
+
+UsageTable::Entry& UsageTable::Update(CustomerDigest customer, TimePoint now) {
+  if (entries_.size() >= kMaxEntries && !entries_.contains(customer)) EvictOldest();
   Entry& entry = entries_[customer];
-  entry.at = now;
+  entry.updated_at = now;
   return entry;
 }
 
-void UsageTable::Observe(std::uint32_t customer, double demand, TimePoint now) {
-  if (pace_.count() == 0) return;
-  const std::uint8_t level = ToLevel(demand);
-  const bool known = entries_.contains(customer);
-  if (!known && demand < kListed) return;
-  Entry& entry = Find(customer, now);
-  entry.level = level;
-  const bool told = entry.told.count() != 0 && now - entry.told < kRetell;
-  const bool news = std::abs(level - entry.told_level) > kLevels * std::log2(kNews);
-  if (entry.queued || (told && !news)) return;
+void UsageTable::EvictOldest() {
+  entries_.erase(std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
+    return a.second.updated_at < b.second.updated_at;
+  }));
+}
+
+void UsageTable::Observe(CustomerDigest customer, double demand, TimePoint now) {
+  if (interval_.count() == 0) return;
+  // One that is known is updated even below: the others learn that it has calmed down.
+  if (demand < kTrackedDemand && !entries_.contains(customer)) return;
+  Entry& entry = Update(customer, now);
+  entry.level = ToLevel(demand);
+  if (entry.queued || !IsBroadcastDue(entry, now)) return;
   entry.queued = true;
   queue_.push_back(customer);
-  // The turns go on while nothing is told: after a quiet time all would else speak at once.
-  if (next_at_ < now) next_at_ += pace_ * ((now - next_at_) / pace_ + 1);
+  // Turns pass while there is nothing to send: after a quiet time all gateways would else send at once.
+  if (next_turn_ < now) SkipTurns(now);
+}
+
+bool UsageTable::IsBroadcastDue(const Entry& entry, TimePoint now) {
+  const bool is_recent = entry.broadcast_at.count() != 0 && now - entry.broadcast_at < kRepeatInterval;
+  const double significant = kLevelsPerDoubling * std::log2(kSignificantFactor);
+  return !is_recent || std::abs(entry.level - entry.broadcast_level) > significant;
 }
 
+void UsageTable::SkipTurns(TimePoint now) { next_turn_ += interval_ * ((now - next_turn_) / interval_ + 1); }
+
 bool UsageTable::Received(std::string_view bytes, TimePoint now) {
   if (bytes.substr(0, kMagic.size()) != kMagic) return false;
   bytes.remove_prefix(kMagic.size());
-  if (bytes.size() % kEntryBytes != 0 || pace_.count() == 0) return true;  // cut, or not for us
+  if (bytes.size() % kEntryBytes != 0 || interval_.count() == 0) return true;  // truncated, or not in use
   for (; !bytes.empty(); bytes.remove_prefix(kEntryBytes)) {
-    std::uint32_t customer = 0;
-    for (int i = 3; i >= 0; --i) customer = customer << 8 | static_cast<unsigned char>(bytes[i]);
-    Entry& entry = Find(customer, now);
-    entry.level = entry.told_level = static_cast<std::uint8_t>(bytes[4]);
-    entry.told = now;
+    const CustomerDigest customer = GetDigest(bytes);
+    Entry& entry = Update(customer, now);
+    entry.level = static_cast<std::uint8_t>(bytes[kDigestBytes]);
+    entry.broadcast_level = entry.level;
+    entry.broadcast_at = now;
     if (!entry.queued) continue;
-    entry.queued = false;  // somebody was faster
+    entry.queued = false;  // another gateway was first
     std::erase(queue_, customer);
   }
   return true;
 }
 
-double UsageTable::Demand(std::uint32_t customer, TimePoint now) const {
+double UsageTable::Demand(CustomerDigest customer, TimePoint now) const {
   const auto found = entries_.find(customer);
-  if (found == entries_.end() || now - found->second.at > kLife) return -1;
+  if (found == entries_.end() || now - found->second.updated_at > kExpiry) return kUnknownDemand;
   return FromLevel(found->second.level);
 }
 
 std::optional<TimePoint> UsageTable::NextTick() const {
   if (queue_.empty()) return std::nullopt;
-  return next_at_;
+  return next_turn_;
 }
 
 std::optional<std::string> UsageTable::Next(TimePoint now) {
-  if (queue_.empty() || now < next_at_) return std::nullopt;
+  if (queue_.empty() || now < next_turn_) return std::nullopt;
   std::string out(kMagic);
-  std::size_t taken = 0;
-  while (taken < queue_.size() && out.size() + kEntryBytes <= kMaxDatagram) {
-    const std::uint32_t customer = queue_[taken++];
+  std::size_t sent = 0;
+  while (sent < queue_.size() && out.size() + kEntryBytes <= kMaxDatagram) {
+    const CustomerDigest customer = queue_[sent++];
     const auto found = entries_.find(customer);
-    if (found == entries_.end()) continue;
+    if (found == entries_.end()) continue;  // evicted
     Entry& entry = found->second;
     entry.queued = false;
-    entry.told = now;
-    entry.told_level = entry.level;
-    for (int i = 0; i < 4; ++i) out += static_cast<char>(customer >> (8 * i) & 0xff);
+    entry.broadcast_at = now;
+    entry.broadcast_level = entry.level;
+    PutDigest(customer, out);
     out += static_cast<char>(entry.level);
   }
-  queue_.erase(queue_.begin(), queue_.begin() + static_cast<std::ptrdiff_t>(taken));
-  next_at_ += pace_ * ((now - next_at_) / pace_ + 1);
+  queue_.erase(queue_.begin(), queue_.begin() + static_cast<std::ptrdiff_t>(sent));
+  SkipTurns(now);
   if (out.size() == kMagic.size()) return std::nullopt;
   return out;
 }
--- a/tests/discovery/discovery_schedule_test.cpp
+++ b/tests/discovery/discovery_schedule_test.cpp
@@ -1,4 +1,4 @@
-// The bound on what discovery's faults may hold up, in modelled time.
+// The bound on the delay that faults of discovery cause, in virtual time.
 #include "discovery/discovery_schedule.h"
 
 #include <algorithm>
@@ -12,35 +12,33 @@
 
 enum class Fault { kSilent, kRefused, kNeverUp };
 
-// Plays a fault at time 0 of a call that is out, then the rest with every step as long as it may be, then a
-// call that is answered; returns how long after the change that is. The change came when the first fault hid
-// it: as the silent call began, or as the other came to nothing.
-milliseconds Play(DiscoverySchedule& times, const std::vector<Fault>& faults) {
-  const auto dial = std::chrono::ceil<milliseconds>(times.Dial());
+// Plays faults in turn, each step as long as it may be, then a call that is answered. Returns the time since
+// the change, which came when the first fault hid it: as the silent call began, or as the other one failed.
+milliseconds Play(DiscoverySchedule& schedule, const std::vector<Fault>& faults) {
+  const auto dial = std::chrono::ceil<milliseconds>(schedule.Dial());
   milliseconds at{0};
   for (std::size_t i = 0; i < faults.size(); ++i) {
-    const milliseconds call = times.Wait() + times.kOverdue;  // a refusal may come as late as that
+    const milliseconds call = schedule.Wait() + schedule.kOverdue;  // a refusal may come as late as that
     if (i > 0) at += dial;
     if (faults[i] == Fault::kSilent || (i > 0 && faults[i] == Fault::kRefused)) at += call;
-    at += faults[i] == Fault::kRefused ? times.Refused() : times.Lost();
+    at += faults[i] == Fault::kRefused ? schedule.Refused() : schedule.Lost();
   }
-  at += dial + times.kOverdue;
-  times.Answered();
+  at += dial + schedule.kOverdue;
+  schedule.Answered();
   return at;
 }
 
-TEST_CASE("whatever two faults follow one another, a change is told within its bound, in any group") {
+TEST_CASE("after any two faults in a row a change is in force within its deadline, in any group") {
   for (const int group : {1, 2, 3, 30, 300, 3'000}) {
     for (const milliseconds timeout : {milliseconds(50), milliseconds(250), milliseconds(5'000)}) {
       for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        DiscoverySchedule times(timeout, group, seed);
+        DiscoverySchedule schedule(timeout, group, seed);
         for (const Fault first : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
           for (const Fault second : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
-            const milliseconds took = Play(times, {first, second});
-            INFO(group << " gatekeepers, dial " << timeout.count() << " ms, faults "
-                       << static_cast<int>(first) << " " << static_cast<int>(second) << ", " << took.count()
-                       << " ms");
-            REQUIRE(took <= DiscoverySchedule::kTold - DiscoverySchedule::kSpare);
+            const milliseconds took = Play(schedule, {first, second});
+            INFO(group << " gateways, dial " << timeout.count() << " ms, faults " << static_cast<int>(first)
+                       << " " << static_cast<int>(second) << ", " << took.count() << " ms");
+            REQUIRE(took <= DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kSpare);
           }
         }
       }
@@ -48,43 +46,45 @@
   }
 }
 
-TEST_CASE("refused again and again, a call comes within the bound of the one before, and the spare is kept") {
-  DiscoverySchedule times(milliseconds(250), 300, 7);
+TEST_CASE("of calls that are refused in a row any two come within the deadline, with the spare left") {
+  DiscoverySchedule schedule(milliseconds(250), 300, 7);
   for (int i = 0; i < 1'000; ++i) {
-    const milliseconds two = times.Refused() + times.Refused();
-    REQUIRE(two + 2 * (milliseconds(250) + times.kOverdue) + times.kShortWait <=
-            DiscoverySchedule::kTold - DiscoverySchedule::kSpare);
+    const milliseconds backoffs = schedule.Refused() + schedule.Refused();
+    REQUIRE(backoffs + 2 * (milliseconds(250) + schedule.kOverdue) + schedule.kShortWait <=
+            DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kSpare);
   }
 }
 
-TEST_CASE("a refused group makes some five calls a second, or as few as the bound allows, and not in step") {
+TEST_CASE("a group that is refused makes five calls a second, or as few as the bound allows, out of step") {
   for (const int group : {1, 3, 5, 30, 300}) {
-    DiscoverySchedule times(milliseconds(250), group, 11);
-    times.Refused();
-    milliseconds sum{0}, least{1'000'000}, most{0};
+    DiscoverySchedule schedule(milliseconds(250), group, 11);
+    schedule.Refused();
+    milliseconds sum{0};
+    milliseconds least{milliseconds::max()};
+    milliseconds most{0};
     constexpr int kRounds = 2'000;
     for (int i = 0; i < kRounds; ++i) {
-      const milliseconds pause = times.Refused();
-      sum += pause;
-      least = std::min(least, pause);
-      most = std::max(most, pause);
+      const milliseconds backoff = schedule.Refused();
+      sum += backoff;
+      least = std::min(least, backoff);
+      most = std::max(most, backoff);
     }
     const double mean = static_cast<double>(sum.count()) / kRounds;
-    INFO(group << " gatekeepers, " << mean << " ms");
+    INFO(group << " gateways, " << mean << " ms");
     CHECK(mean == Approx(std::min(200.0 * group, 1'166.0)).epsilon(0.05));
     CHECK(most > 2 * least);
   }
 }
 
-TEST_CASE("after a fault the first call waits for a short time only, and then the usual") {
-  DiscoverySchedule times(milliseconds(250), 3, 1);
-  CHECK(times.Wait() == DiscoverySchedule::kWait);
-  times.Lost();
-  CHECK(times.Wait() == DiscoverySchedule::kShortWait);
-  times.Refused();
-  CHECK(times.Wait() == DiscoverySchedule::kShortWait);
-  times.Answered();
-  CHECK(times.Wait() == DiscoverySchedule::kWait);
+TEST_CASE("the first call after a fault has a short wait, the next ones the usual") {
+  DiscoverySchedule schedule(milliseconds(250), 3, 1);
+  CHECK(schedule.Wait() == DiscoverySchedule::kWait);
+  schedule.Lost();
+  CHECK(schedule.Wait() == DiscoverySchedule::kShortWait);
+  schedule.Refused();
+  CHECK(schedule.Wait() == DiscoverySchedule::kShortWait);
+  schedule.Answered();
+  CHECK(schedule.Wait() == DiscoverySchedule::kWait);
 }
 
 }  // namespace
--- a/tests/subsetting/subset_test.cpp
+++ b/tests/subsetting/subset_test.cpp
@@ -1,5 +1,4 @@
-// Subsets of many gateways together: load and connections by node, places changed, zones lost, views that
-// differ.
+// Subsets of many gateways together: load and connections by upstream, stability, zones, differing views.
 #include "subsetting/subset.h"
 
 #include <algorithm>
@@ -13,14 +12,14 @@
 namespace postspread::subsetting {
 namespace {
 
-const Limits kLimits{true, 12, 3};
+const Limits kLimits{.subsets = true, .nodes = 12, .least = 3};
 
-std::vector<Node> Nodes(int count, int zones = 1, int pod_size = 5) {
-  std::vector<Node> out;
+std::vector<Upstream> Upstreams(int count, int zones = 1, int cell_size = 5) {
+  std::vector<Upstream> out;
   out.reserve(count);
   for (int i = 0; i < count; ++i) {
     out.push_back({"s-" + std::to_string(i), "zone-" + std::to_string(i % zones),
-                   i / zones / pod_size * zones + i % zones, 1, true});
+                   i / zones / cell_size * zones + i % zones, 1, true});
   }
   return out;
 }
@@ -31,109 +30,129 @@
   return out;
 }
 
-struct Sum {
-  std::vector<double> load, connections;  // by node; the load in gateways' worth, all equal
-  [[nodiscard]] double MaxOverMean(const std::vector<double>& of) const {
-    const double mean = std::accumulate(of.begin(), of.end(), 0.0) / static_cast<double>(of.size());
-    return *std::max_element(of.begin(), of.end()) / mean;
-  }
-  [[nodiscard]] double Jain(const std::vector<double>& of) const {
-    double sum = 0, squares = 0;
-    for (const double x : of) sum += x, squares += x * x;
-    return sum * sum / (static_cast<double>(of.size()) * squares);
+double Mean(const std::vector<double>& values) {
+  return std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
+}
+
+double MaxOverMean(const std::vector<double>& values) {
+  return *std::max_element(values.begin(), values.end()) / Mean(values);
+}
+
+// Jain's fairness index: 1 if all are equal.
+double Fairness(const std::vector<double>& values) {
+  double sum = 0;
+  double squares = 0;
+  for (const double value : values) {
+    sum += value;
+    squares += value * value;
   }
+  return sum * sum / (static_cast<double>(values.size()) * squares);
+}
+
+// Over all gateways, by upstream.
+struct Totals {
+  std::vector<double> load;  // each gateway contributes 1
+  std::vector<double> connections;
 };
 
-// Each gateway goes by its own list of members.
-Sum Add(const Limits& limits, const std::vector<std::vector<std::string>>& views,
-        const std::vector<std::string>& members, const std::vector<Node>& nodes,
-        const std::string& zone = "zone-0") {
-  Sum out{std::vector<double>(nodes.size(), 0), std::vector<double>(nodes.size(), 0)};
+// Each gateway has its own view of the members.
+Totals Add(const Limits& limits, const std::vector<std::vector<std::string>>& views,
+           const std::vector<std::string>& members, const std::vector<Upstream>& upstreams,
+           const std::string& zone = "zone-0") {
+  Totals out{std::vector<double>(upstreams.size(), 0), std::vector<double>(upstreams.size(), 0)};
   for (std::size_t i = 0; i < members.size(); ++i) {
     const std::vector<Assignment> assignments =
-        Subset(limits, RingPositionOf(members[i], views[i]), zone, false, nodes);
+        Subset(limits, RingPositionOf(members[i], views[i]), zone, Grouping::kSingle, upstreams);
     double all = 0;
-    for (const Assignment& assignment : assignments) all += assignment.share * nodes[assignment.node].weight;
+    for (const Assignment& assignment : assignments)
+      all += assignment.share * upstreams[assignment.upstream].weight;
     for (const Assignment& assignment : assignments) {
-      out.load[assignment.node] += assignment.share * nodes[assignment.node].weight / all;
-      out.connections[assignment.node] += 1;
+      out.load[assignment.upstream] += assignment.share * upstreams[assignment.upstream].weight / all;
+      out.connections[assignment.upstream] += 1;
     }
   }
   return out;
 }
-Sum Add(const Limits& limits, const std::vector<std::string>& members, const std::vector<Node>& nodes) {
-  return Add(limits, std::vector<std::vector<std::string>>(members.size(), members), members, nodes);
+Totals Add(const Limits& limits, const std::vector<std::string>& members,
+           const std::vector<Upstream>& upstreams) {
+  return Add(limits, std::vector<std::vector<std::string>>(members.size(), members), members, upstreams);
 }
 
-TEST_CASE("with equal views every node gets its fair share, and connections within one of the mean") {
+TEST_CASE("with equal views the load of upstreams is equal, and connections are within one of the mean") {
   for (const int gateways : {3, 16, 100, 300}) {
     for (const int count : {9, 30, 60, 200}) {
-      const std::vector<Node> nodes = Nodes(count);
-      const Sum sum = Add(kLimits, Members(gateways), nodes);
-      INFO(gateways << " gatekeepers, " << count << " nodes");
-      CHECK(sum.MaxOverMean(sum.load) <= 1.05);
-      CHECK(sum.Jain(sum.load) >= 0.999);
-      const double mean =
-          std::accumulate(sum.connections.begin(), sum.connections.end(), 0.0) / static_cast<double>(count);
-      for (const double c : sum.connections) CHECK(std::abs(c - mean) <= 1.0 + 1e-9);
-      // A part of the nodes it is, where there are many.
+      const std::vector<Upstream> upstreams = Upstreams(count);
+      const Totals totals = Add(kLimits, Members(gateways), upstreams);
+      INFO(gateways << " gateways, " << count << " upstreams");
+      CHECK(MaxOverMean(totals.load) <= 1.05);
+      CHECK(Fairness(totals.load) >= 0.999);
+      const double mean = Mean(totals.connections);
+      for (const double connections : totals.connections) CHECK(std::abs(connections - mean) <= 1.0 + 1e-9);
+      // Of many upstreams a subset is used.
       if (count >= 60) CHECK(mean <= 0.5 * gateways);
     }
   }
-  // By weight: a node that is worth two gets twice as much.
-  std::vector<Node> nodes = Nodes(60);
-  for (int i = 0; i < 60; i += 3) nodes[static_cast<std::size_t>(i)].weight = 2;
-  const Sum sum = Add(kLimits, Members(100), nodes);
+  // By weight: an upstream of weight two gets twice as much.
+  std::vector<Upstream> upstreams = Upstreams(60);
+  for (int i = 0; i < 60; i += 3) upstreams[static_cast<std::size_t>(i)].weight = 2;
+  const Totals totals = Add(kLimits, Members(100), upstreams);
   const double unit = 100.0 / 80;
-  for (std::size_t i = 0; i < 60; ++i) CHECK(sum.load[i] == Approx(unit * nodes[i].weight).epsilon(0.05));
+  for (std::size_t i = 0; i < 60; ++i)
+    CHECK(totals.load[i] == Approx(unit * upstreams[i].weight).epsilon(0.05));
 }
 
-std::size_t Changed(const std::vector<Assignment>& before, const std::vector<Node>& old_nodes,
-                    const std::vector<Assignment>& after, const std::vector<Node>& new_nodes) {
-  std::set<std::string> a, b;
-  for (const Assignment& p : before) a.insert(old_nodes[p.node].name);
-  for (const Assignment& p : after) b.insert(new_nodes[p.node].name);
-  std::size_t out = 0;
-  for (const std::string& name : b) out += !a.contains(name);
-  return out;
+// How many upstreams are in the second subset and not in the first.
+std::size_t Added(const std::vector<Assignment>& before, const std::vector<Upstream>& old_upstreams,
+                  const std::vector<Assignment>& after, const std::vector<Upstream>& new_upstreams) {
+  std::set<std::string> former;
+  for (const Assignment& assignment : before) former.insert(old_upstreams[assignment.upstream].name);
+  std::set<std::string> added;
+  for (const Assignment& assignment : after) {
+    const std::string& name = new_upstreams[assignment.upstream].name;
+    if (!former.contains(name)) added.insert(name);
+  }
+  return added.size();
 }
 
-TEST_CASE("one gatekeeper or node that comes or goes changes two places at most, growing and shrinking") {
+std::vector<Assignment> SubsetOf(const std::string& own, const std::vector<std::string>& members,
+                                 const std::vector<Upstream>& upstreams) {
+  return Subset(kLimits, RingPositionOf(own, members), "zone-0", Grouping::kSingle, upstreams);
+}
+
+TEST_CASE("a gateway or an upstream that comes or goes changes at most two upstreams of a subset") {
   for (const int gateways : {16, 100, 300}) {
     for (const int count : {30, 60, 200}) {
       const std::vector<std::string> members = Members(gateways);
-      const std::vector<Node> nodes = Nodes(count);
+      const std::vector<Upstream> upstreams = Upstreams(count);
+      std::vector<Upstream> grown = upstreams;
+      grown.push_back({"s-new", "zone-0", 0, 1, true});
+      std::vector<Upstream> shrunk = upstreams;
+      shrunk[4].ready = false;
       std::size_t most = 0;
       for (const std::string& own : members) {
-        const std::vector<Assignment> before =
-            Subset(kLimits, RingPositionOf(own, members), "zone-0", false, nodes);
-        std::vector<std::string> more = members, fewer = members;
+        const std::vector<Assignment> before = SubsetOf(own, members, upstreams);
+        const auto compare = [&](const std::vector<Assignment>& after, const std::vector<Upstream>& now) {
+          most = std::max(most, Added(before, upstreams, after, now));
+        };
+        std::vector<std::string> more = members;
         more.push_back("gk-new");
+        compare(SubsetOf(own, more, upstreams), upstreams);
+        std::vector<std::string> fewer = members;
         fewer.erase(std::find(fewer.begin(), fewer.end(), own == "gk-5" ? "gk-6" : "gk-5"));
-        most = std::max(
-            most, Changed(before, nodes, Subset(kLimits, RingPositionOf(own, more), "zone-0", false, nodes),
-                          nodes));
-        most = std::max(
-            most, Changed(before, nodes, Subset(kLimits, RingPositionOf(own, fewer), "zone-0", false, nodes),
-                          nodes));
-        std::vector<Node> grown = nodes, shrunk = nodes;
-        grown.push_back({"s-new", "zone-0", 0, 1, true});
-        shrunk[4].ready = false;
-        most = std::max(
-            most, Changed(before, nodes,
-                          Subset(kLimits, RingPositionOf(own, members), "zone-0", false, grown), grown));
-        const std::vector<Assignment> after =
-            Subset(kLimits, RingPositionOf(own, members), "zone-0", false, shrunk);
-        most = std::max(most, Changed(before, nodes, after, shrunk));
-        CHECK(std::none_of(after.begin(), after.end(), [](const Assignment& p) { return p.node == 4; }));
+        compare(SubsetOf(own, fewer, upstreams), upstreams);
+        compare(SubsetOf(own, members, grown), grown);
+        const std::vector<Assignment> without = SubsetOf(own, members, shrunk);
+        compare(without, shrunk);
+        CHECK(std::none_of(without.begin(), without.end(),
+                           [](const Assignment& assignment) { return assignment.upstream == 4; }));
       }
-      INFO(gateways << " gatekeepers, " << count << " nodes");
+      INFO(gateways << " gateways, " << count << " upstreams");
       CHECK(most <= 2 * static_cast<std::size_t>((count + gateways - 1) / gateways));
     }
   }
 }
 
-TEST_CASE("views that differ by a fifth of the members leave loads near, and nobody is left out") {
+TEST_CASE("with views that differ by a fifth of the members loads are similar, and no upstream is left out") {
   std::mt19937_64 random(5);
   for (const int gateways : {100, 300}) {
     const std::vector<std::string> members = Members(gateways);
@@ -145,56 +164,60 @@
       }
       views.push_back(std::move(view));
     }
-    const Sum sum = Add(kLimits, views, members, Nodes(60));
-    CHECK(sum.Jain(sum.load) >= 0.98);
-    CHECK(*std::min_element(sum.load.begin(), sum.load.end()) > 0);
-    // Two halves that see only themselves: each covers the whole ring by itself.
+    const Totals totals = Add(kLimits, views, members, Upstreams(60));
+    CHECK(Fairness(totals.load) >= 0.98);
+    CHECK(*std::min_element(totals.load.begin(), totals.load.end()) > 0);
+    // Two sides of a partition: each covers the whole ring by itself.
     std::vector<std::vector<std::string>> halves;
     for (std::size_t i = 0; i < members.size(); ++i) {
       std::vector<std::string> view;
       for (std::size_t m = i % 2; m < members.size(); m += 2) view.push_back(members[m]);
       halves.push_back(std::move(view));
     }
-    const Sum split = Add(kLimits, halves, members, Nodes(60));
-    CHECK(split.MaxOverMean(split.load) <= 1.15);
+    const Totals split = Add(kLimits, halves, members, Upstreams(60));
+    CHECK(MaxOverMean(split.load) <= 1.15);
   }
 }
 
-TEST_CASE("each zone is reached, the others carry a lost one's part, and pods stay whole") {
-  const Limits limits{true, 12, 3};
+TEST_CASE("each zone is used, the others replace a lost one, and cells are used as a whole") {
   const std::vector<std::string> members = Members(300);
-  std::vector<Node> nodes = Nodes(180, 3);
+  std::vector<Upstream> upstreams = Upstreams(180, 3);
   const auto by_zone = [&](const std::vector<Assignment>& assignments) {
     std::map<std::string, int> out;
-    for (const Assignment& p : assignments) ++out[nodes[p.node].zone];
+    for (const Assignment& assignment : assignments) ++out[upstreams[assignment.upstream].zone];
     return out;
   };
   for (const std::string& own : members) {
-    const auto zones = by_zone(Subset(limits, RingPositionOf(own, members), "zone-1", false, nodes));
+    const auto zones =
+        by_zone(Subset(kLimits, RingPositionOf(own, members), "zone-1", Grouping::kSingle, upstreams));
     CHECK(zones.at("zone-1") >= 12);
     CHECK(zones.at("zone-0") >= 3);
     CHECK(zones.at("zone-2") >= 3);
     CHECK(zones.at("zone-0") <= 6);
   }
-  for (Node& node : nodes) node.ready = node.zone != "zone-1" || node.name == "s-1";
+  for (Upstream& upstream : upstreams) {
+    upstream.ready = upstream.zone != "zone-1" || upstream.name == "s-1";
+  }
   for (const std::string& own : members) {
-    const auto zones = by_zone(Subset(limits, RingPositionOf(own, members), "zone-1", false, nodes));
+    const auto zones =
+        by_zone(Subset(kLimits, RingPositionOf(own, members), "zone-1", Grouping::kSingle, upstreams));
     CHECK(zones.at("zone-0") >= 6);
     CHECK(zones.at("zone-2") >= 6);
-    CHECK(zones.at("zone-1") == 1);  // all that there is
+    CHECK(zones.at("zone-1") == 1);  // all that is ready
   }
-  nodes = Nodes(180, 3);
+  upstreams = Upstreams(180, 3);
   for (const std::string& own : members) {
     const std::vector<Assignment> assignments =
-        Subset(limits, RingPositionOf(own, members), "zone-1", true, nodes);
-    std::map<std::int64_t, int> pods;
-    for (const Assignment& p : assignments) ++pods[nodes[p.node].pod];
-    for (const auto& [pod, count] : pods) CHECK(count == 5);
+        Subset(kLimits, RingPositionOf(own, members), "zone-1", Grouping::kByCell, upstreams);
+    std::map<std::int64_t, int> cells;
+    for (const Assignment& assignment : assignments) ++cells[upstreams[assignment.upstream].cell];
+    for (const auto& [cell, count] : cells) CHECK(count == 5);
     CHECK(assignments.size() >= 18);
   }
-  // Few nodes are all used, by three gateways as by one.
-  CHECK(Subset(limits, RingPositionOf("gk-0", Members(3)), "zone-0", false, Nodes(9, 3)).size() == 9);
-  CHECK(Subset(limits, RingPositionOf("gk-0", {}), "", false, Nodes(200)).size() == 200);
+  // Few upstreams are all used.
+  CHECK(Subset(kLimits, RingPositionOf("gk-0", Members(3)), "zone-0", Grouping::kSingle, Upstreams(9, 3))
+            .size() == 9);
+  CHECK(Subset(kLimits, RingPositionOf("gk-0", {}), "", Grouping::kSingle, Upstreams(200)).size() == 200);
 }
 
 }  // namespace
--- a/tests/usage/usage_table_test.cpp
+++ b/tests/usage/usage_table_test.cpp
@@ -1,4 +1,4 @@
-// What gateways tell one another of customers: pace, news, bounds, and datagrams that are spoilt.
+// Broadcasts of customers' demand: their rate, what is broadcast, bounds, and corrupt datagrams.
 #include "usage/usage_table.h"
 
 #include <algorithm>
@@ -15,24 +15,24 @@
 
 constexpr TimePoint kStart = seconds(1'000);
 
-// Boards started in one tick that hear all that any of them tells.
-struct Fleet {
-  explicit Fleet(int size) {
+// Gateways that were started at the same moment; each receives all datagrams of the others.
+struct Group {
+  explicit Group(int size) {
     for (int i = 0; i < size; ++i) {
       tables.push_back(
           std::make_unique<UsageTable>(UsageOptions{size, 40, static_cast<std::uint64_t>(i)}, kStart));
     }
   }
-  // Steps of 10 ms; returns the datagrams of the busiest second.
+  // In steps of 10 ms. Returns the datagrams in the busiest second.
   std::size_t Run(
       std::chrono::seconds length, const std::function<void()>& before_step = [] {}) {
-    std::vector<std::size_t> each(static_cast<std::size_t>(length.count()), 0);
+    std::vector<std::size_t> by_second(static_cast<std::size_t>(length.count()), 0);
     for (const TimePoint begun = now; now < begun + length; now += milliseconds(10)) {
       before_step();
       for (auto& table : tables) {
         const std::optional<std::string> bytes = table->Next(now);
         if (!bytes) continue;
-        ++each[static_cast<std::size_t>((now - begun) / seconds(1))];
+        ++by_second[static_cast<std::size_t>((now - begun) / seconds(1))];
         sent += bytes->size();
         longest = std::max(longest, bytes->size());
         for (auto& other : tables) {
@@ -40,78 +40,80 @@
         }
       }
     }
-    return *std::max_element(each.begin(), each.end());
+    return *std::max_element(by_second.begin(), by_second.end());
   }
   TimePoint now = kStart;
   std::vector<std::unique_ptr<UsageTable>> tables;
-  std::size_t sent = 0, longest = 0;
+  std::size_t sent = 0;     // bytes
+  std::size_t longest = 0;  // datagram, in bytes
 };
 
-TEST_CASE("hundreds that learn something at once after a quiet time do not all tell it at once") {
-  Fleet fleet(100);
-  fleet.now += seconds(60);
+TEST_CASE("a hundred gateways that observe something after a quiet time do not broadcast it all at once") {
+  Group group(100);
+  group.now += seconds(60);
   std::uint32_t customer = 0;
-  for (auto& table : fleet.tables) table->Observe(++customer, 2.0, fleet.now);
-  CHECK(fleet.Run(seconds(5)) <= 40);  // what one takes in
+  for (auto& table : group.tables) table->Observe(++customer, 2.0, group.now);
+  CHECK(group.Run(seconds(5)) <= 40);  // that one can receive
 }
 
-TEST_CASE("hundreds that start in one tick and learn the same at once do not speak in step, nor too often") {
+TEST_CASE("gateways that start and observe together broadcast out of step and within the budget") {
   for (const int size : {3, 100, 200}) {
-    Fleet fleet(size);
+    Group group(size);
     std::uint32_t customer = 0;
-    const std::size_t busiest = fleet.Run(seconds(8), [&] {
-      // Each hears of five customers a second: more than there is to tell.
-      for (auto& table : fleet.tables) {
-        if (fleet.now.count() % 200'000 == 0) table->Observe(++customer % 3'000, 2.0, fleet.now);
+    const std::size_t busiest = group.Run(seconds(8), [&] {
+      // Each observes five customers a second: more than can be broadcast.
+      for (auto& table : group.tables) {
+        if (group.now.count() % 200'000 == 0) table->Observe(++customer % 3'000, 2.0, group.now);
       }
     });
-    INFO(size << " gatekeepers, " << busiest << " datagrams in a second");
+    INFO(size << " gateways, " << busiest << " datagrams in a second");
     CHECK(busiest <= 40);
-    CHECK(fleet.longest <= kMaxDatagram);
+    CHECK(group.longest <= kMaxDatagram);
   }
 }
 
-TEST_CASE("what others have told already is not told again, but for news and after a while") {
-  Fleet fleet(2);
-  fleet.tables[0]->Observe(1, 2.0, fleet.now);
-  fleet.tables[1]->Observe(1, 2.0, fleet.now);  // both learn it; the first to speak speaks for both
-  fleet.Run(seconds(1));
-  CHECK(fleet.sent == 9);
-  fleet.tables[1]->Observe(1, 2.1, fleet.now);
-  fleet.Run(seconds(1));
-  CHECK(fleet.sent == 9);
-  fleet.tables[1]->Observe(1, 4.0, fleet.now);
-  fleet.Run(seconds(1));
-  CHECK(fleet.sent == 18);
-  fleet.Run(seconds(4));
-  fleet.tables[0]->Observe(1, 4.0, fleet.now);
-  fleet.Run(seconds(1));
-  CHECK(fleet.sent == 27);
+TEST_CASE("a broadcast is repeated only for a significant change or after a while") {
+  Group group(2);
+  group.tables[0]->Observe(1, 2.0, group.now);
+  group.tables[1]->Observe(1, 2.0, group.now);  // both observe it; the first broadcast is for both
+  group.Run(seconds(1));
+  CHECK(group.sent == 9);
+  group.tables[1]->Observe(1, 2.1, group.now);
+  group.Run(seconds(1));
+  CHECK(group.sent == 9);
+  group.tables[1]->Observe(1, 4.0, group.now);
+  group.Run(seconds(1));
+  CHECK(group.sent == 18);
+  group.Run(seconds(4));
+  group.tables[0]->Observe(1, 4.0, group.now);
+  group.Run(seconds(1));
+  CHECK(group.sent == 27);
 }
 
-TEST_CASE("of calm customers nothing is told, but that one has become calm again") {
-  Fleet fleet(2);
+TEST_CASE("a customer within its rate is broadcast only if it exceeded the rate before") {
+  Group group(2);
   for (const double demand : {0.5, 5.0, 0.5}) {
-    fleet.tables[0]->Observe(1, demand, fleet.now);
-    fleet.Run(seconds(1));
+    group.tables[0]->Observe(1, demand, group.now);
+    group.Run(seconds(1));
   }
-  CHECK(fleet.sent == 18);
-  CHECK(fleet.tables[1]->Demand(1, fleet.now) == Approx(0.5).epsilon(0.05));
-  CHECK(fleet.tables[1]->Demand(1, fleet.now + seconds(13)) < 0);
+  CHECK(group.sent == 18);
+  CHECK(group.tables[1]->Demand(1, group.now) == Approx(0.5).epsilon(0.05));
+  CHECK(group.tables[1]->Demand(1, group.now + seconds(13)) < 0);
 }
 
-TEST_CASE("a board holds no more customers than its bound, and the latest") {
+TEST_CASE("a table has no more customers than its bound, and evicts the least recent") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
   for (std::uint32_t i = 0; i < 3 * kMaxEntries; ++i) table.Observe(i, 2.0, kStart + milliseconds(i / 10));
   CHECK(table.size() == kMaxEntries);
   CHECK(table.Demand(3 * kMaxEntries - 1, kStart + seconds(1)) == Approx(2.0).epsilon(0.05));
 }
 
-TEST_CASE("spoilt datagrams harm nothing, and other subsystems' are left alone") {
+TEST_CASE("corrupt datagrams do no harm, and other subsystems' are ignored") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
   CHECK_FALSE(table.Received("PSK\1whatever", kStart));
   CHECK_FALSE(table.Received("", kStart));
-  CHECK(table.Received(std::string("PSD\1") + "abcd", kStart));  // cut within an entry: refused whole
+  CHECK(table.Received(std::string("PSD\1") + "abcd",
+                       kStart));  // truncated within an entry: rejected as a whole
   CHECK(table.size() == 0);
   std::mt19937 random(20261201);
   for (int i = 0; i < 20'000; ++i) {
