--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -171,15 +171,16 @@
       std::any_of(settings_.classes.begin(), settings_.classes.end(), [](const ClassSettings& c) {
         return c.retry_safety == RetrySafety::kIdempotencyKey && c.scope != KeyScope::kAll;
       });
-  std::vector<subsetting::Node> nodes;
+  std::vector<subsetting::Upstream> nodes;
   for (const auto& [name, upstream] : upstreams_) {
     nodes.push_back(
         {name, upstream.zone, upstream.cell, upstream.weight, upstream.state == UpstreamState::kReady});
   }
   std::unordered_set<std::string> chosen;
   for (const subsetting::Assignment& assignment :
-       subsetting::Subset(subsetting_, RingPosition(), settings_.zone, by_pod, nodes)) {
-    chosen.insert(nodes[assignment.node].name);
+       subsetting::Subset(subsetting_, RingPosition(), settings_.zone,
+                          by_pod ? subsetting::Grouping::kByCell : subsetting::Grouping::kSingle, nodes)) {
+    chosen.insert(nodes[assignment.upstream].name);
   }
   if (report.scope == EndpointUpdateKind::kChanges) {
     std::unordered_set<std::string> named;
@@ -229,7 +230,7 @@
     line += change.by_self ? ", seen here" : ", heard";
     actions_.emplace_back(LogEvent{line + ", life " + std::to_string(change.incarnation)});
   }
-  for (std::string& note : membership_->TakeNotes())
+  for (std::string& note : membership_->TakeLogLines())
     actions_.emplace_back(LogEvent{"fleet: " + std::move(note)});
 }
 
