--- /dev/null
+++ b/src/idempotency/claim_protocol.cpp
@@ -0,0 +1,188 @@
+#include "idempotency/claim_protocol.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+#include <vector>
+
+#include "idempotency/placement.h"
+#include "idempotency/timing.h"
+
+namespace postspread::idempotency {
+namespace {
+
+ClaimRecord ToClaim(const Entry& entry) {
+  return {.key = entry.key,
+          .fingerprint = entry.fingerprint,
+          .customer = entry.customer,
+          .round = entry.claim.round,
+          .has_group = entry.group.has_value(),
+          .group = entry.group.value_or(0),
+          .window_ms = ToWireMilliseconds(entry.dedup_window)};
+}
+
+}  // namespace
+
+ClaimProtocol::ClaimProtocol(const Limits& limits, const GatewayIdentity& identity, TimePoint start,
+                             const Collaborators& collaborators)
+    : limits_(limits),
+      identity_(identity),
+      start_(start),
+      store_(collaborators.store),
+      peers_(collaborators.peers),
+      fetcher_(collaborators.fetcher),
+      runner_(collaborators.runner),
+      actions_(collaborators.actions),
+      counts_(collaborators.counts) {}
+
+// ---- Claims ----
+
+void ClaimProtocol::BeginRound(Entry& entry, TimePoint now) {
+  entry.claim.round = next_round_++;
+  entry.claim.first_sent = now;
+}
+
+EntryFate ClaimProtocol::StartClaim(Entry& entry, TimePoint now) {
+  fetcher_.Cancel(entry);
+  entry.Apply(KeyEvent::kClaimStarted);
+  entry.claim = OwnClaim{};
+  entry.claim.confirmed = !IsRecovering(now);
+  BeginRound(entry, now);
+  entry.next_attempt = now + RetryInterval(limits_);
+  return SettleClaim(entry, now);
+}
+
+EntryFate ClaimProtocol::OnVoteCounted(Entry& entry, int rank, TimePoint now) {
+  entry.claim.awaiting.Remove(rank);
+  return SettleClaim(entry, now);
+}
+
+EntryFate ClaimProtocol::RetryClaim(Entry& entry, TimePoint now) {
+  if (SettleClaim(entry, now) == EntryFate::kRemoved) return EntryFate::kRemoved;
+  if (entry.state != KeyState::kClaiming) return EntryFate::kKept;
+  const ClaimRecord claim = ToClaim(entry);
+  for (const int rank : entry.claim.awaiting) peers_.Queue(rank, claim, Response::kExpected, now);
+  entry.next_attempt = now + RetryInterval(limits_);
+  return EntryFate::kKept;
+}
+
+// Starts the work once every vote has arrived that can.
+EntryFate ClaimProtocol::SettleClaim(Entry& entry, TimePoint now) {
+  SendMissingClaims(entry, now);
+  if (!entry.claim.awaiting.empty()) return EntryFate::kKept;
+  if (!entry.claim.confirmed) {
+    ++counts_.unconfirmed;
+    if (limits_.unvouched == Unvouched::kDefer) {
+      actions_.RejectAll(entry, kStoreFullRetryAfter);
+      Abandon(entry, now);
+      return EntryFate::kRemoved;
+    }
+  }
+  runner_.StartFirstAttempt(entry, now);
+  return EntryFate::kKept;
+}
+
+// Claims the key at replicas that have not been asked yet, and stops waiting for those that are away.
+void ClaimProtocol::SendMissingClaims(Entry& entry, TimePoint now) {
+  const ClaimRecord claim = ToClaim(entry);
+  RankSet awaiting;
+  for (const int rank : Replicas(entry, now)) {
+    if (entry.claim.recipients.Has(rank)) {
+      if (entry.claim.awaiting.Has(rank)) awaiting.Add(rank);
+      continue;
+    }
+    peers_.Queue(rank, claim, Response::kExpected, now);
+    awaiting.Add(rank);
+    // A recipient beyond the set's capacity is asked again, and is not sent a withdrawal: its record expires.
+    entry.claim.recipients.Add(rank);
+  }
+  entry.claim.awaiting = awaiting;
+}
+
+// The other gateways of the customer that record the key: the best of those that live, this one counted too,
+// so that all who claim a key ask the same ones.
+RankSet ClaimProtocol::Replicas(const Entry& entry, TimePoint now) const {
+  if (!identity_.has_peers) return {};
+  const Work& work = entry.waiters.front().work;
+  const int group_size = std::min(identity_.group_size, kMaxPeers);
+  std::vector<int> living;
+  for (int offset = 0; offset < std::min<int>(work.spread, group_size); ++offset) {
+    const int rank = (work.first + offset) % group_size;
+    if (rank == identity_.rank || !peers_.IsAway(rank, now)) living.push_back(rank);
+  }
+  RankSet replicas;
+  for (const int rank : BestGateways(entry.key, std::move(living), limits_.witnesses)) {
+    if (rank != identity_.rank) replicas.Add(rank);
+  }
+  return replicas;
+}
+
+// ---- The holder ----
+
+bool ClaimProtocol::IsHolderLost(const Entry& entry, TimePoint now) const {
+  return peers_.IsAway(entry.holder.rank, now) ||
+         peers_.HasRestarted(entry.holder.rank, entry.holder.incarnation);
+}
+
+void ClaimProtocol::QueryHolder(Entry& entry, TimePoint now) {
+  if (IsHolderLost(entry, now)) return runner_.Resume(entry, now);
+  // A repeated query keeps its round, so that a late response to the first one counts too.
+  if (!std::exchange(entry.claim.is_status_query, true)) BeginRound(entry, now);
+  peers_.Queue(entry.holder.rank, ToClaim(entry), Response::kExpected, now);
+  entry.next_attempt = now + RetryInterval(limits_);
+}
+
+void ClaimProtocol::RecoverOwnWork(Entry& entry, const VoteRecord& vote, TimePoint now) {
+  entry.Apply(KeyEvent::kOwnClaimRecalled);
+  entry.executed = IsExecuted(vote.phase);
+  ApplyPlacement(entry, vote);
+  runner_.Resume(entry, now);
+}
+
+void ClaimProtocol::ApplyPlacement(Entry& entry, const VoteRecord& vote) const {
+  entry.group = vote.has_group != 0 ? std::optional(vote.group) : std::nullopt;
+  // The latest time at which the work can have begun: the vote is younger than our question. Counted from the
+  // vote's arrival its transit would lengthen the deduplication window.
+  entry.sent = entry.claim.first_sent - std::chrono::milliseconds(vote.age_ms + 1);
+}
+
+// ---- The end of a claim ----
+
+void ClaimProtocol::Withdraw(const Entry& entry, TimePoint now) {
+  constexpr int kNobody = -1;
+  WithdrawExcept(entry, kNobody, now);
+}
+
+void ClaimProtocol::WithdrawExcept(const Entry& entry, int except_rank, TimePoint now) {
+  const OutcomeRecord record{.key = entry.key, .round = entry.claim.round, .withdrawn = 1};
+  for (const int rank : entry.claim.recipients) {
+    if (rank != except_rank) peers_.Queue(rank, record, Response::kNone, now);
+  }
+}
+
+void ClaimProtocol::Abandon(Entry& entry, TimePoint now) {
+  Withdraw(entry, now);
+  store_.Remove(entry);
+}
+
+void ClaimProtocol::AbandonForCapacity(Entry& entry, TimePoint now) {
+  if (limits_.when_full == WhenFull::kPass) {
+    counts_.full_unprotected += entry.waiters.size();
+    actions_.StartAllUnprotected(entry);
+  } else {
+    counts_.full_rejected += entry.waiters.size();
+    actions_.RejectAll(entry, kStoreFullRetryAfter);
+  }
+  Abandon(entry, now);
+}
+
+void ClaimProtocol::AnnounceOutcome(const Entry& entry, TimePoint now) {
+  const OutcomeRecord record{.key = entry.key,
+                             .round = entry.claim.round,
+                             .withdrawn = 0,
+                             .phase = entry.ReportedPhase(),
+                             .age_ms = ToWireMilliseconds(now - entry.sent)};
+  for (const int rank : entry.interested) peers_.Queue(rank, record, Response::kNone, now);
+}
+
+}  // namespace postspread::idempotency
--- a/src/idempotency/digest.cpp
+++ b/src/idempotency/digest.cpp
@@ -9,10 +9,11 @@
 namespace postspread::idempotency {
 namespace {
 
-constexpr XXH64_hash_t kRequestSeed = 0x706f7374;  // apart from the key's, which has none
-constexpr XXH64_hash_t kPlaceSeed = 0x73707265;
+// Seeds that keep the digests independent of each other; the key's own has none.
+constexpr XXH64_hash_t kRequestSeed = 0x706f7374;
+constexpr XXH64_hash_t kRendezvousSeed = 0x73707265;
 
-std::string Joined(std::initializer_list<std::string_view> parts) {
+std::string LengthPrefixed(std::initializer_list<std::string_view> parts) {
   std::string out;
   for (const std::string_view part : parts) {
     const std::uint64_t size = part.size();
@@ -25,15 +26,15 @@
 }  // namespace
 
 KeyId DigestKey(std::string_view customer, std::string_view class_name, std::string_view key) {
-  const std::string bytes = Joined({customer, class_name, key});
+  const std::string bytes = LengthPrefixed({customer, class_name, key});
   const XXH128_hash_t hash = XXH3_128bits(bytes.data(), bytes.size());
   return {hash.high64, hash.low64};
 }
 
 std::uint64_t DigestRequest(std::string_view customer, std::string_view class_name, std::string_view key,
                             double units, std::string_view body) {
-  const std::string bytes =
-      Joined({customer, class_name, key, {reinterpret_cast<const char*>(&units), sizeof units}, body});
+  const std::string bytes = LengthPrefixed(
+      {customer, class_name, key, {reinterpret_cast<const char*>(&units), sizeof units}, body});
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), kRequestSeed);
 }
 
@@ -41,9 +42,9 @@
   return static_cast<std::uint32_t>(XXH3_64bits(customer.data(), customer.size()));
 }
 
-std::uint64_t Rendezvous(const KeyId& key, std::uint64_t identity) {
-  const std::uint64_t words[] = {key.high, key.low, identity};
-  return XXH3_64bits_withSeed(words, sizeof words, kPlaceSeed);
+std::uint64_t RendezvousScore(const KeyId& key, std::uint64_t candidate) {
+  const std::uint64_t words[] = {key.high, key.low, candidate};
+  return XXH3_64bits_withSeed(words, sizeof words, kRendezvousSeed);
 }
 
 std::uint32_t Checksum(std::string_view bytes) { return XXH32(bytes.data(), bytes.size(), 0); }
--- /dev/null
+++ b/src/idempotency/entry.cpp
@@ -0,0 +1,47 @@
+#include "idempotency/entry.h"
+
+#include <algorithm>
+#include <cassert>
+
+namespace postspread::idempotency {
+
+void Entry::Apply(KeyEvent event) {
+  const std::optional<KeyState> next = NextState(state, event);
+  assert(next.has_value());
+  if (next) state = *next;
+}
+
+void Entry::SetPhase(Phase phase) {
+  holder.phase = phase;
+  executed = IsExecuted(phase);
+}
+
+Phase Entry::ReportedPhase() const {
+  switch (state) {
+    case KeyState::kAnswered:
+      return has_answer ? Phase::kAnswered : Phase::kAnsweredNoValue;
+    case KeyState::kUnknownOutcome:
+      return executed ? Phase::kAnsweredNoValue : Phase::kUnknown;
+    case KeyState::kHeldByPeer:
+      return holder.phase;
+    case KeyState::kNew:
+    case KeyState::kClaiming:
+    case KeyState::kRunning:
+      return Phase::kRunning;
+  }
+  return Phase::kUnknown;
+}
+
+TimePoint Entry::NextDue() const {
+  const bool runs = state == KeyState::kRunning;
+  TimePoint next = runs ? TimePoint::max() : expires;
+  for (const Waiter& waiter : waiters) {
+    // The end of the request that runs comes from the caller.
+    if (!IsRunning(waiter.id)) next = std::min(next, waiter.deadline);
+  }
+  const bool asks_peers =
+      state == KeyState::kClaiming || (state == KeyState::kHeldByPeer && !waiters.empty());
+  return asks_peers ? std::min(next, next_attempt) : next;
+}
+
+}  // namespace postspread::idempotency
--- a/src/idempotency/peers.cpp
+++ b/src/idempotency/peers.cpp
@@ -6,67 +6,72 @@
 namespace postspread::idempotency {
 namespace {
 
-constexpr std::size_t kMaxWaiting = 512;
-// Datagrams without any answer after which silence is no accident: at one lost in five each way, eleven in a
-// million such runs are.
-constexpr int kUnanswered = 12;
-constexpr Duration kAwayLook{250'000};  // between two datagrams to a peer that is away
-// A life is numbered by the wall clock at its start, which may have been stepped back since: a lower one is a
-// former life only as long as it may still be under way, or stands beside its successor, and after that a new
+constexpr std::size_t kMaxQueued = 512;
+// Datagrams without any response after which silence is not taken for loss: with one datagram in five lost
+// each way, eleven such runs in a million are.
+constexpr int kMinUnanswered = 12;
+constexpr Duration kAwayProbeInterval{250'000};  // between datagrams to a peer that is away
+// Incarnations are numbered by the wall clock, which may have been stepped back since. A lower one is taken
+// for a replaced incarnation only while its datagrams may still be on their way; after that it is a new
 // start.
-constexpr Duration kFormerIncarnation{10'000'000};
-constexpr double kBurstS = 0.1;  // of the pace: may go at once after a rest
+constexpr Duration kReplacedIncarnation{10'000'000};
+constexpr double kBurstSeconds = 0.1;  // the pace's datagrams of this span may be sent at once after a pause
 
 }  // namespace
 
 Peers::Peers(int own_rank, int group_size, std::uint64_t incarnation, const Limits& limits)
     : limits_(limits),
-      own_{static_cast<std::uint16_t>(own_rank), incarnation},
+      own_header_{static_cast<std::uint16_t>(own_rank), incarnation},
       peers_(static_cast<std::size_t>(std::clamp(group_size, 1, kMaxPeers))) {}
 
-void Peers::Queue(int rank, const Record& record, bool wants_answer, TimePoint now) {
-  if (rank < 0 || rank >= static_cast<int>(peers_.size()) || rank == own_.rank) return;
+bool Peers::IsPeer(int rank) const {
+  return rank >= 0 && rank < static_cast<int>(peers_.size()) && rank != own_header_.rank;
+}
+
+void Peers::Queue(int rank, const Record& record, Response response, TimePoint now) {
+  if (!IsPeer(rank)) return;
   Peer& peer = peers_[static_cast<std::size_t>(rank)];
-  // To one that is away only a look now and then: it would find a full queue when it comes back.
-  if (Away(rank, now) && (!peer.queue.empty() || now - peer.last_sent < kAwayLook)) return;
-  if (peer.queue.size() >= kMaxWaiting) {
+  // A peer that is away gets a probe now and then, or it would come back to a full queue.
+  if (IsAway(rank, now) && (!peer.queue.empty() || now - peer.last_sent < kAwayProbeInterval)) return;
+  if (peer.queue.size() >= kMaxQueued) {
     ++dropped_;
     return;
   }
-  peer.queue.push_back({EncodeRecord(record), wants_answer});
+  peer.queue.push_back({EncodeRecord(record), response});
 }
 
-bool Peers::Heard(int rank, std::uint64_t incarnation, TimePoint now) {
-  if (rank < 0 || rank >= static_cast<int>(peers_.size()) || rank == own_.rank) return false;
+bool Peers::OnDatagram(int rank, std::uint64_t incarnation, TimePoint now) {
+  if (!IsPeer(rank)) return false;
   Peer& peer = peers_[static_cast<std::size_t>(rank)];
-  if (incarnation < peer.incarnation && now - peer.heard < kFormerIncarnation) return false;
+  if (incarnation < peer.incarnation && now - peer.last_received < kReplacedIncarnation) return false;
   peer.incarnation = incarnation;
-  peer.heard = now;
+  peer.last_received = now;
   peer.unanswered = 0;
   return true;
 }
 
 void Peers::SetView(std::vector<Seen> view) {
   for (std::size_t rank = 0; rank < std::min(view.size(), peers_.size()); ++rank) {
-    // Back again: what its former life did not answer is not held against it.
-    if (!view[rank].gone && rank < view_.size() && view_[rank].gone) peers_[rank].unanswered = 0;
+    const bool returned = !view[rank].gone && rank < view_.size() && view_[rank].gone;
+    // What its former incarnation left unanswered says nothing of the new one.
+    if (returned) peers_[rank].unanswered = 0;
   }
   view_ = std::move(view);
 }
 
-bool Peers::Restarted(int rank, std::uint64_t incarnation) const {
+bool Peers::HasRestarted(int rank, std::uint64_t incarnation) const {
+  constexpr std::uint64_t kMicrosecondsPerMillisecond = 1'000;  // incarnations here are in microseconds
   const auto index = static_cast<std::size_t>(rank);
-  const std::uint64_t heard = peers_[index].incarnation;
-  if (heard != 0 && heard != incarnation) return true;
-  return index < view_.size() &&
-         view_[index].incarnation > incarnation / 1'000;  // a life here is in microseconds
+  const std::uint64_t received = peers_[index].incarnation;
+  if (received != 0 && received != incarnation) return true;
+  return index < view_.size() && view_[index].incarnation > incarnation / kMicrosecondsPerMillisecond;
 }
 
-bool Peers::Away(int rank, TimePoint now) const {
-  const Peer& peer = peers_[static_cast<std::size_t>(rank)];
-  if (static_cast<std::size_t>(rank) < view_.size() && view_[static_cast<std::size_t>(rank)].gone)
-    return true;
-  return peer.unanswered >= kUnanswered && now - peer.unanswered_since >= limits_.peer_silent;
+bool Peers::IsAway(int rank, TimePoint now) const {
+  const auto index = static_cast<std::size_t>(rank);
+  const Peer& peer = peers_[index];
+  if (index < view_.size() && view_[index].gone) return true;
+  return peer.unanswered >= kMinUnanswered && now - peer.unanswered_since >= limits_.peer_silent;
 }
 
 std::uint64_t Peers::Incarnation(int rank) const {
@@ -74,34 +79,40 @@
 }
 
 double Peers::Burst() const {
-  return std::max(1.0, static_cast<double>(limits_.datagrams_per_second) * kBurstS);
+  return std::max(1.0, static_cast<double>(limits_.datagrams_per_second) * kBurstSeconds);
 }
 
 TimePoint Peers::ReadyAt(const Peer& peer) const {
-  if (peer.tokens >= 1) return peer.filled;
+  if (peer.tokens >= 1) return peer.refilled;
   const double seconds = (1 - peer.tokens) / static_cast<double>(limits_.datagrams_per_second);
-  return peer.filled + Duration(static_cast<std::int64_t>(seconds * 1e6) + 1);
+  return peer.refilled + Duration(static_cast<std::int64_t>(seconds * 1e6) + 1);
+}
+
+void Peers::RefillTokens(Peer& peer, TimePoint now) const {
+  const double seconds = std::chrono::duration<double>(std::max(Duration(0), now - peer.refilled)).count();
+  const double refill = seconds * static_cast<double>(limits_.datagrams_per_second);
+  peer.tokens = std::min(Burst(), peer.tokens + refill);
+  peer.refilled = std::max(peer.refilled, now);
 }
 
-std::optional<std::string> Peers::Next(int rank, TimePoint now) {
+std::optional<std::string> Peers::NextDatagram(int rank, TimePoint now) {
   Peer& peer = peers_[static_cast<std::size_t>(rank)];
   if (peer.queue.empty()) return std::nullopt;
-  const double seconds = std::chrono::duration<double>(std::max(Duration(0), now - peer.filled)).count();
-  peer.tokens = std::min(Burst(), peer.tokens + seconds * static_cast<double>(limits_.datagrams_per_second));
-  peer.filled = std::max(peer.filled, now);
+  RefillTokens(peer, now);
   if (peer.tokens < 1) return std::nullopt;
   peer.tokens -= 1;
   std::string records;
-  bool wants_answer = false;
-  while (!peer.queue.empty() &&
-         kHeaderBytes + records.size() + peer.queue.front().bytes.size() <= kMaxDatagram) {
-    records += peer.queue.front().bytes;
-    wants_answer = wants_answer || peer.queue.front().wants_answer;
+  bool expects_response = false;
+  while (!peer.queue.empty()) {
+    const QueuedRecord& next = peer.queue.front();
+    if (kHeaderBytes + records.size() + next.bytes.size() > kMaxDatagram) break;
+    records += next.bytes;
+    expects_response = expects_response || next.response == Response::kExpected;
     peer.queue.pop_front();
   }
-  if (wants_answer && peer.unanswered++ == 0) peer.unanswered_since = now;
+  if (expects_response && peer.unanswered++ == 0) peer.unanswered_since = now;
   peer.last_sent = now;
-  return Seal(own_, records);
+  return EncodeDatagram(own_header_, records);
 }
 
 std::optional<TimePoint> Peers::NextFlush() const {
--- a/src/idempotency/peers.h
+++ b/src/idempotency/peers.h
@@ -1,8 +1,8 @@
-// The other gateways of the group as the replica sees them: what waits to be sent to each, at what pace,
-// who answers, and which life each is in. Free of I/O and clock.
+// The other gateways of the group as a replica sees them: the records queued for each, the pace to it,
+// whether it responds, and its incarnation. Free of I/O and clock.
 //
-// Bounds: kMaxPeers peers; 512 records wait for each at most (the newest is dropped beyond that: every record
-// is either asked for again or only saves a question later).
+// Bounds: kMaxPeers peers; 512 records are queued for each at most, and the newest is dropped beyond that:
+// every record is either sent again later or only saves a question.
 #ifndef POSTSPREAD_IDEMPOTENCY_PEERS_H_
 #define POSTSPREAD_IDEMPOTENCY_PEERS_H_
 
@@ -10,6 +10,7 @@
 #include <deque>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "idempotency/limits.h"
@@ -20,69 +21,73 @@
 
 inline constexpr int kMaxPeers = 1'000;  // as many as the membership view holds
 
+// Whether any live peer responds to a record.
+enum class Response { kExpected, kNone };
+
 class Peers {
  public:
-  // `life` is higher than that of any earlier start of this gateway, but where the wall clock was stepped
+  // `incarnation` is higher than at any earlier start of this gateway, unless the wall clock was stepped
   // back.
   Peers(int own_rank, int group_size, std::uint64_t incarnation, const Limits& limits);
 
   void SetLimits(const Limits& limits) { limits_ = limits; }
 
-  // What the membership view says of each peer, by rank, where this installation keeps one; empty: nothing.
-  // Who is gone by it is away without being asked; of all others silence decides, as without it.
+  // A peer in the membership view, by rank; an empty view says nothing. A peer that is gone by the view is
+  // away without being asked; of all others silence decides, as without a view.
   struct Seen {
-    bool gone = false;              // dead, or told to leave
-    std::uint64_t incarnation = 0;  // milliseconds; 0: never heard of
+    bool gone = false;              // dead or leaving
+    std::uint64_t incarnation = 0;  // in milliseconds; 0: never seen
     bool operator==(const Seen&) const = default;
   };
   void SetView(std::vector<Seen> view);
 
-  // Queues a record for a peer. `wants_answer`: it is answered by any live peer.
-  void Queue(int rank, const Record& record, bool wants_answer, TimePoint now);
+  void Queue(int rank, const Record& record, Response response, TimePoint now);
 
-  // A datagram of this peer has come. False where it is of an earlier life than one that was heard of late.
-  bool Heard(int rank, std::uint64_t incarnation, TimePoint now);
+  // A datagram of this peer has arrived. False where an incarnation that was replaced recently sent it.
+  [[nodiscard]] bool OnDatagram(int rank, std::uint64_t incarnation, TimePoint now);
 
-  // The peer is gone by the view, or was asked often and long enough and has said nothing.
-  [[nodiscard]] bool Away(int rank, TimePoint now) const;
-  // Of the life last heard of; 0: never heard.
+  // The peer is gone by the view, or several questions have gone unanswered for long enough.
+  [[nodiscard]] bool IsAway(int rank, TimePoint now) const;
+  // The last one heard of from the peer itself; 0: none.
   [[nodiscard]] std::uint64_t Incarnation(int rank) const;
-  // Whether the peer has started again since `life`, by what it sent itself or by the view.
-  [[nodiscard]] bool Restarted(int rank, std::uint64_t incarnation) const;
+  // Whether the peer has restarted since this incarnation, by its own datagrams or by the view.
+  [[nodiscard]] bool HasRestarted(int rank, std::uint64_t incarnation) const;
 
-  // What may be sent by now, sealed; calls `tell(rank, bytes)` for each datagram.
-  template <typename F>
-  void Flush(TimePoint now, F tell) {
+  // Calls `send(rank, bytes)` for each datagram that the pace allows by now.
+  template <typename Send>
+  void Flush(TimePoint now, Send send) {
     for (int rank = 0; rank < static_cast<int>(peers_.size()); ++rank) {
-      while (std::optional<std::string> bytes = Next(rank, now)) tell(rank, std::move(*bytes));
+      while (std::optional<std::string> bytes = NextDatagram(rank, now)) send(rank, std::move(*bytes));
     }
   }
-  // When Flush is wanted next; nothing: not at all.
+  // When Flush is due next; nothing: nothing is queued.
   [[nodiscard]] std::optional<TimePoint> NextFlush() const;
 
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
  private:
-  struct Waiting {
+  struct QueuedRecord {
     std::string bytes;
-    bool wants_answer = false;
+    Response response = Response::kNone;
   };
   struct Peer {
     std::uint64_t incarnation = 0;
-    TimePoint heard{0};
-    std::deque<Waiting> queue;
-    double tokens = 1;  // datagrams that may go now
-    TimePoint filled{0};
-    int unanswered = 0;  // datagrams that wanted an answer since the last one came
+    TimePoint last_received{0};
+    std::deque<QueuedRecord> queue;
+    double tokens = 1;  // datagrams that may be sent now
+    TimePoint refilled{0};
+    int unanswered = 0;  // datagrams that expected a response since the last one arrived
     TimePoint unanswered_since{0};
     TimePoint last_sent{0};
   };
-  std::optional<std::string> Next(int rank, TimePoint now);
+  [[nodiscard]] bool IsPeer(int rank) const;
+  std::optional<std::string> NextDatagram(int rank, TimePoint now);
+  void RefillTokens(Peer& peer, TimePoint now) const;
   [[nodiscard]] double Burst() const;
   [[nodiscard]] TimePoint ReadyAt(const Peer& peer) const;
 
   Limits limits_;
-  Header own_;
+  Header own_header_;
   std::vector<Peer> peers_;
   std::vector<Seen> view_;
   std::uint64_t dropped_ = 0;
--- a/src/idempotency/rank_set.h
+++ b/src/idempotency/rank_set.h
@@ -1,17 +1,18 @@
-// A few gateways of a group of any size, by rank: what an entry of the store notes of others. Small, for
-// there is one for each key; whoever finds no room in it is not noted.
+// A small set of gateways, by rank, out of a group of any size. Each entry of the store has several, so its
+// capacity is fixed; a rank beyond it is not recorded.
 #ifndef POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
 #define POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
 
 #include <algorithm>
 #include <array>
+#include <cstddef>
 #include <cstdint>
 
 namespace postspread::idempotency {
 
 class RankSet {
  public:
-  static constexpr std::size_t kMost = 15;
+  static constexpr std::size_t kCapacity = 15;
 
   [[nodiscard]] bool empty() const { return size_ == 0; }
   [[nodiscard]] const std::uint16_t* begin() const { return ranks_.data(); }
@@ -20,7 +21,7 @@
   // False where there is no room.
   bool Add(int rank) {
     if (Has(rank)) return true;
-    if (size_ == kMost) return false;
+    if (size_ == kCapacity) return false;
     ranks_[size_++] = static_cast<std::uint16_t>(rank);
     return true;
   }
@@ -32,7 +33,7 @@
   bool operator==(const RankSet&) const = default;
 
  private:
-  std::array<std::uint16_t, kMost> ranks_{};
+  std::array<std::uint16_t, kCapacity> ranks_{};
   std::uint16_t size_ = 0;
 };
 
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -1,55 +1,42 @@
 #include "idempotency/store.h"
 
 #include <algorithm>
-#include <cstdlib>
-#include <new>
+#include <cstddef>
 
 namespace postspread::idempotency {
 namespace {
 
-// Upper bounds of what one element takes of a container's node, block extra included; measured by the tests.
-constexpr std::size_t kNode = 64;                    // links, hash and alignment, with the block's extra
-constexpr std::size_t kDueBytes = 3 * (kNode + 32);  // in the indexes of times
-constexpr std::size_t kCustomerBytes = kNode + 16;
-constexpr std::size_t kEntryBytes = sizeof(Entry) + kNode + 16 + kDueBytes + kCustomerBytes;
-constexpr std::size_t kWaiterIndexBytes = kNode + 24;
-constexpr std::size_t kBlock = 32;  // of a vector or string that grows: the extra, twice while it is copied
-
-// The tables of buckets are made once, for as many as can ever be: a table that grew would take its old and
-// its new size at once, past any bound.
+// Upper bounds of what one element takes of a container's node, the heap's overhead included.
+constexpr std::size_t kNodeBytes = 64;  // links, hash and alignment
+constexpr std::size_t kTimeIndexBytes = 3 * (kNodeBytes + 32);
+constexpr std::size_t kCustomerIndexBytes = kNodeBytes + 16;
+constexpr std::size_t kEntryBytes = sizeof(Entry) + kNodeBytes + 16 + kTimeIndexBytes + kCustomerIndexBytes;
+constexpr std::size_t kWaiterIndexBytes = kNodeBytes + 24;
+constexpr std::size_t kWaiterBytes = sizeof(Waiter) + kWaiterIndexBytes;
+// Of a vector or string that grows: the heap's overhead, twice while it is copied.
+constexpr std::size_t kGrowthBytes = 32;
+
+// The hash tables get their buckets once, for as many elements as there can ever be: a table that grew would
+// hold its old and its new buckets at once, past any bound.
 constexpr std::size_t kBucketBytes = std::size_t{6} * sizeof(void*);
 
 }  // namespace
 
-void* CountedMemory::do_allocate(std::size_t bytes, std::size_t alignment) {
-  void* const block = std::pmr::new_delete_resource()->allocate(bytes, alignment);
-  used_ += bytes + kBlockExtra;
-  peak_ = std::max(peak_, used_);
-  return block;
-}
-
-void CountedMemory::do_deallocate(void* block, std::size_t bytes, std::size_t alignment) {
-  used_ -= bytes + kBlockExtra;
-  std::pmr::new_delete_resource()->deallocate(block, bytes, alignment);
-}
-
-IdempotencyStore::IdempotencyStore(std::size_t memory, double share)
-    : limit_(memory),
-      share_(share),
+IdempotencyStore::IdempotencyStore(std::size_t memory, double customer_share)
+    : memory_limit_(memory),
+      customer_share_(customer_share),
       max_entries_(memory / (kEntryBytes + kBucketBytes)),
       entries_(&memory_),
       waiters_(&memory_),
-      customers_(&memory_),
+      customer_bytes_(&memory_),
       due_(&memory_),
       answered_(&memory_),
-      answered_of_(&memory_) {
+      answered_by_customer_(&memory_) {
   entries_.reserve(max_entries_);
   waiters_.reserve(max_entries_);
-  customers_.reserve(max_entries_);
+  customer_bytes_.reserve(max_entries_);
 }
 
-std::size_t IdempotencyStore::BytesPerKey() { return kEntryBytes + kBucketBytes; }
-
 Entry* IdempotencyStore::Find(const KeyId& key) {
   const auto found = entries_.find(key);
   return found == entries_.end() ? nullptr : &found->second;
@@ -60,38 +47,47 @@
   return found == waiters_.end() ? nullptr : Find(found->second);
 }
 
-std::size_t IdempotencyStore::CustomerBytes(std::uint32_t customer) const {
-  const auto found = customers_.find(customer);
-  return found == customers_.end() ? 0 : found->second;
+// ---- Room ----
+
+std::size_t IdempotencyStore::BytesOf(std::uint32_t customer) const {
+  const auto found = customer_bytes_.find(customer);
+  return found == customer_bytes_.end() ? 0 : found->second;
+}
+
+void IdempotencyStore::Charge(const Entry& entry, std::size_t bytes) {
+  if (bytes > 0) customer_bytes_[entry.customer] += bytes;
 }
 
-void IdempotencyStore::Charge(Entry& entry, std::ptrdiff_t bytes) {
-  std::size_t& held = customers_[entry.customer];
-  held = static_cast<std::size_t>(static_cast<std::ptrdiff_t>(held) + bytes);
-  if (held == 0) customers_.erase(entry.customer);
+void IdempotencyStore::Refund(const Entry& entry, std::size_t bytes) {
+  const auto found = customer_bytes_.find(entry.customer);
+  if (found == customer_bytes_.end()) return;
+  found->second -= bytes;
+  if (found->second == 0) customer_bytes_.erase(found);
 }
 
-// Drops answers, the longest answered first, until so many bytes fit.
-bool IdempotencyStore::Room(std::size_t bytes) {
-  while (memory_.used() + bytes > limit_) {
+bool IdempotencyStore::MakeRoom(std::size_t bytes) {
+  while (memory_.used() + bytes > memory_limit_) {
     if (answered_.empty()) return false;
-    DropAnswer(*Find(answered_.begin()->second));
+    DropAnswer(*Find(answered_.begin()->key));
   }
   return true;
 }
 
-bool IdempotencyStore::RoomOf(std::uint32_t customer, std::size_t bytes) {
-  const auto most = static_cast<std::size_t>(share_ * static_cast<double>(limit_));
-  while (CustomerBytes(customer) + bytes > most) {
-    const auto first = answered_of_.lower_bound({customer, TimePoint::min(), KeyId{}});
-    if (first == answered_of_.end() || std::get<0>(*first) != customer) return false;
-    DropAnswer(*Find(std::get<2>(*first)));
+bool IdempotencyStore::MakeRoomWithinShare(std::uint32_t customer, std::size_t bytes) {
+  const auto share = static_cast<std::size_t>(customer_share_ * static_cast<double>(memory_limit_));
+  while (BytesOf(customer) + bytes > share) {
+    const auto oldest = answered_by_customer_.lower_bound({customer, TimePoint::min(), KeyId{}});
+    if (oldest == answered_by_customer_.end() || oldest->customer != customer) return false;
+    DropAnswer(*Find(oldest->key));
   }
   return true;
 }
 
+// ---- Entries and waiters ----
+
 Entry* IdempotencyStore::Add(const KeyId& key, std::uint32_t customer) {
-  if (entries_.size() >= max_entries_ || !RoomOf(customer, kEntryBytes) || !Room(kEntryBytes)) return nullptr;
+  if (entries_.size() >= max_entries_) return nullptr;
+  if (!MakeRoomWithinShare(customer, kEntryBytes) || !MakeRoom(kEntryBytes)) return nullptr;
   Entry& entry = entries_.try_emplace(key, &memory_).first->second;
   entry.key = key;
   entry.customer = customer;
@@ -101,26 +97,25 @@
 
 void IdempotencyStore::Remove(Entry& entry) {
   for (const Waiter& waiter : entry.waiters) waiters_.erase(waiter.id);
-  Charge(entry,
-         -static_cast<std::ptrdiff_t>(entry.waiters.capacity() * (sizeof(Waiter) + kWaiterIndexBytes)));
+  Refund(entry, entry.waiters.capacity() * kWaiterBytes);
   ReleaseAnswer(entry);
-  Charge(entry, -static_cast<std::ptrdiff_t>(kEntryBytes));
+  Refund(entry, kEntryBytes);
   due_.erase({entry.due, entry.key});
   entries_.erase(entry.key);
 }
 
 bool IdempotencyStore::AddWaiter(Entry& entry, const Waiter& waiter) {
-  constexpr std::size_t kEach = sizeof(Waiter) + kWaiterIndexBytes;
   if (waiters_.size() >= max_entries_) return false;
   const std::size_t capacity = entry.waiters.capacity();
   if (entry.waiters.size() == capacity) {
     const std::size_t larger = std::max<std::size_t>(1, capacity * 2);
-    if (!RoomOf(entry.customer, (larger - capacity) * kEach)) return false;
-    // The old block and the new one are there together while the vector grows.
-    if (!Room(larger * sizeof(Waiter) + (larger - capacity) * kWaiterIndexBytes + kBlock)) return false;
+    const std::size_t added = larger - capacity;
+    if (!MakeRoomWithinShare(entry.customer, added * kWaiterBytes)) return false;
+    // The vector's old block and its new one exist together while it grows.
+    if (!MakeRoom(larger * sizeof(Waiter) + added * kWaiterIndexBytes + kGrowthBytes)) return false;
     entry.waiters.reserve(larger);
-    Charge(entry, static_cast<std::ptrdiff_t>((larger - capacity) * kEach));
-  } else if (!Room(kWaiterIndexBytes)) {
+    Charge(entry, added * kWaiterBytes);
+  } else if (!MakeRoom(kWaiterIndexBytes)) {
     return false;
   }
   entry.waiters.push_back(waiter);
@@ -129,60 +124,63 @@
 }
 
 void IdempotencyStore::RemoveWaiter(Entry& entry, WaiterId waiter) {
-  std::erase_if(entry.waiters, [waiter](const Waiter& w) { return w.id == waiter; });
+  std::erase_if(entry.waiters, [waiter](const Waiter& candidate) { return candidate.id == waiter; });
   waiters_.erase(waiter);
 }
 
 std::pmr::vector<Waiter> IdempotencyStore::TakeWaiters(Entry& entry) {
   std::pmr::vector<Waiter> out(&memory_);
-  Charge(entry,
-         -static_cast<std::ptrdiff_t>(entry.waiters.capacity() * (sizeof(Waiter) + kWaiterIndexBytes)));
+  Refund(entry, entry.waiters.capacity() * kWaiterBytes);
   out.swap(entry.waiters);
   for (const Waiter& waiter : out) waiters_.erase(waiter.id);
   return out;
 }
 
-bool IdempotencyStore::Reserve(Entry& entry, std::size_t size) {
+// ---- Answers ----
+
+bool IdempotencyStore::ReserveAnswer(Entry& entry, std::size_t size) {
   if (entry.answer.capacity() >= size) return true;
   ReleaseAnswer(entry);
-  if (!RoomOf(entry.customer, size + kBlock) || !Room(size + kBlock)) return false;
+  if (!MakeRoomWithinShare(entry.customer, size + kGrowthBytes) || !MakeRoom(size + kGrowthBytes)) {
+    return false;
+  }
   entry.answer.reserve(size);
-  Charge(entry, static_cast<std::ptrdiff_t>(entry.answer.capacity()));
+  Charge(entry, entry.answer.capacity());
   return true;
 }
 
+void IdempotencyStore::CommitAnswer(Entry& entry) {
+  entry.has_answer = true;
+  answered_.insert({entry.sent, entry.key});
+  answered_by_customer_.insert({entry.customer, entry.sent, entry.key});
+}
+
 void IdempotencyStore::ReleaseAnswer(Entry& entry) {
-  static const std::size_t kInside = std::pmr::string().capacity();  // within the string itself
-  if (entry.state == State::kAnswered && entry.has_value) {
+  static const std::size_t kInlineBytes = std::pmr::string().capacity();  // stored in the string object
+  if (entry.has_answer) {
     answered_.erase({entry.sent, entry.key});
-    answered_of_.erase({entry.customer, entry.sent, entry.key});
-  }
-  if (entry.answer.capacity() > kInside) {
-    Charge(entry, -static_cast<std::ptrdiff_t>(entry.answer.capacity()));
+    answered_by_customer_.erase({entry.customer, entry.sent, entry.key});
   }
+  if (entry.answer.capacity() > kInlineBytes) Refund(entry, entry.answer.capacity());
   std::pmr::string(&memory_).swap(entry.answer);
-  entry.has_value = false;
+  entry.has_answer = false;
 }
 
 void IdempotencyStore::DropAnswer(Entry& entry) {
-  if (entry.has_value) ++values_dropped_;
+  if (entry.has_answer) ++answers_evicted_;
   ReleaseAnswer(entry);
 }
 
-void IdempotencyStore::MarkAnswered(Entry& entry) {
-  entry.state = State::kAnswered;
-  entry.has_value = true;
-  answered_.emplace(entry.sent, entry.key);
-  answered_of_.emplace(entry.customer, entry.sent, entry.key);
-}
+// ---- Times ----
 
-void IdempotencyStore::SetDue(Entry& entry, TimePoint due) {
+void IdempotencyStore::Reschedule(Entry& entry) {
+  const TimePoint due = entry.NextDue();
   if (entry.due == due && due.count() != 0) return;
   due_.erase({entry.due, entry.key});
   entry.due = due;
-  due_.emplace(due, entry.key);
+  due_.insert({due, entry.key});
 }
 
-Entry* IdempotencyStore::First() { return due_.empty() ? nullptr : Find(due_.begin()->second); }
+Entry* IdempotencyStore::NextDue() { return due_.empty() ? nullptr : Find(due_.begin()->key); }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/wire.cpp
+++ b/src/idempotency/wire.cpp
@@ -13,118 +13,144 @@
 template <typename T>
 constexpr bool kIsNumber = std::is_integral_v<T> || std::is_enum_v<T>;
 
+// Writer and Reader have one interface, `Code(members...)`, so that each record lists its members once.
 class Writer {
  public:
+  template <typename... Members>
+  void Code(const Members&... members) {
+    (Write(members), ...);
+  }
+  void Append(std::string_view bytes) { out_ += bytes; }
+  [[nodiscard]] std::string Take() { return std::move(out_); }
+
+ private:
   template <typename T>
-  void operator()(const T& value) {
+  void Write(const T& value) {
     if constexpr (std::is_same_v<T, KeyId>) {
-      (*this)(value.high);
-      (*this)(value.low);
+      Code(value.high, value.low);
     } else if constexpr (std::is_same_v<T, std::string>) {
-      (*this)(static_cast<std::uint8_t>(value.size()));
-      out += value;
+      Write(static_cast<std::uint8_t>(value.size()));
+      out_ += value;
     } else {
       static_assert(kIsNumber<T>);
       auto bits = static_cast<std::uint64_t>(value);
-      for (std::size_t i = 0; i < sizeof(T); ++i, bits >>= 8) out += static_cast<char>(bits & 0xff);
+      for (std::size_t i = 0; i < sizeof(T); ++i, bits >>= 8) out_ += static_cast<char>(bits & 0xff);
     }
   }
-  std::string out;
+
+  std::string out_;
 };
 
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : rest(bytes) {}
+  explicit Reader(std::string_view bytes) : rest_(bytes) {}
+
+  template <typename... Members>
+  void Code(Members&... members) {
+    (Read(members), ...);
+  }
+  [[nodiscard]] std::string_view rest() const { return rest_; }
+  // False once more was read than there is.
+  [[nodiscard]] bool ok() const { return ok_; }
+
+ private:
   template <typename T>
-  void operator()(T& value) {
+  void Read(T& value) {
     if constexpr (std::is_same_v<T, KeyId>) {
-      (*this)(value.high);
-      (*this)(value.low);
+      Code(value.high, value.low);
     } else if constexpr (std::is_same_v<T, std::string>) {
       std::uint8_t size = 0;
-      (*this)(size);
-      if (rest.size() < size) return Cut();
-      value = rest.substr(0, size);
-      rest.remove_prefix(size);
+      Read(size);
+      value = Take(size);
     } else {
       static_assert(kIsNumber<T>);
-      if (rest.size() < sizeof(T)) return Cut();
+      const std::string_view bytes = Take(sizeof(T));
+      if (!ok_) return;
       std::uint64_t bits = 0;
-      for (std::size_t i = sizeof(T); i-- > 0;) bits = bits << 8 | static_cast<unsigned char>(rest[i]);
+      for (std::size_t i = sizeof(T); i-- > 0;) bits = bits << 8 | static_cast<unsigned char>(bytes[i]);
       value = static_cast<T>(bits);
-      rest.remove_prefix(sizeof(T));
     }
   }
-  std::string_view rest;
-  bool sound = true;
-
- private:
-  void Cut() {
-    sound = false;
-    rest = {};
+  std::string_view Take(std::size_t size) {
+    if (rest_.size() < size) {
+      ok_ = false;
+      rest_ = {};
+      return {};
+    }
+    const std::string_view taken = rest_.substr(0, size);
+    rest_.remove_prefix(size);
+    return taken;
   }
+
+  std::string_view rest_;
+  bool ok_ = true;
 };
 
-// Each record's members, once for both directions.
-template <typename C, typename R>
-void Members(C& code, R& record) {
+// Each record's members on the wire, for both directions.
+template <typename Codec, typename R>
+void CodeMembers(Codec& codec, R& record) {
   using T = std::remove_const_t<R>;
   if constexpr (std::is_same_v<T, ClaimRecord>) {
-    code(record.key), code(record.fingerprint), code(record.customer), code(record.round);
-    code(record.has_pod), code(record.pod), code(record.window_ms);
+    codec.Code(record.key, record.fingerprint, record.customer, record.round, record.has_group, record.group,
+               record.window_ms);
   } else if constexpr (std::is_same_v<T, VoteRecord>) {
-    code(record.key), code(record.round), code(record.verdict), code(record.mark);
-    if (record.verdict != Verdict::kHeld) return;
-    code(record.holder), code(record.holder_incarnation), code(record.phase);
-    code(record.has_pod), code(record.pod), code(record.age_ms);
+    codec.Code(record.key, record.round, record.kind, record.reference_round);
+    if (record.kind != VoteKind::kHeld) return;
+    codec.Code(record.holder, record.holder_incarnation, record.phase, record.has_group, record.group,
+               record.age_ms);
   } else if constexpr (std::is_same_v<T, OutcomeRecord>) {
-    code(record.key), code(record.round), code(record.released), code(record.phase), code(record.age_ms);
+    codec.Code(record.key, record.round, record.withdrawn, record.phase, record.age_ms);
   } else if constexpr (std::is_same_v<T, FetchRecord>) {
-    code(record.key), code(record.first), code(record.wanted);
+    codec.Code(record.key, record.first, record.wanted);
   } else {
     static_assert(std::is_same_v<T, FragmentRecord>);
-    code(record.key), code(record.index), code(record.total), code(record.bytes);
+    codec.Code(record.key, record.index, record.total, record.bytes);
   }
 }
 
+// A record's kind on the wire is its index in the variant.
 template <std::size_t kKind = 0>
 bool ReadRecord(std::size_t kind, Reader& reader, Record& out) {
   if constexpr (kKind < std::variant_size_v<Record>) {
     if (kind != kKind) return ReadRecord<kKind + 1>(kind, reader, out);
-    Members(reader, out.emplace<kKind>());
-    return reader.sound;
+    CodeMembers(reader, out.emplace<kKind>());
+    return reader.ok();
   } else {
     return false;
   }
 }
 
-bool IsSound(const Record& record) {
+bool HasValidEnums(const Record& record) {
   if (const auto* vote = std::get_if<VoteRecord>(&record)) {
-    return vote->verdict <= Verdict::kFull && vote->phase <= Phase::kUnknown;
+    return vote->kind <= VoteKind::kNoCapacity && vote->phase <= Phase::kUnknown;
   }
   if (const auto* outcome = std::get_if<OutcomeRecord>(&record)) return outcome->phase <= Phase::kUnknown;
   return true;
 }
 
+// Of everything behind the magic but the checksum itself.
+std::uint32_t ChecksumOf(const Header& header, std::string_view records) {
+  Writer writer;
+  writer.Code(header.rank, header.incarnation);
+  writer.Append(records);
+  return Checksum(writer.Take());
+}
+
 }  // namespace
 
 std::string EncodeRecord(const Record& record) {
   Writer writer;
-  writer(static_cast<std::uint8_t>(record.index()));
-  std::visit([&writer](const auto& r) { Members(writer, r); }, record);
-  return std::move(writer.out);
+  writer.Code(static_cast<std::uint8_t>(record.index()));
+  std::visit([&writer](const auto& alternative) { CodeMembers(writer, alternative); }, record);
+  return writer.Take();
 }
 
-std::string Seal(const Header& header, std::string_view records) {
+std::string EncodeDatagram(const Header& header, std::string_view records) {
   Writer writer;
-  writer.out = kMagic;
-  writer(header.rank);
-  writer(header.incarnation);
-  std::string sealed = writer.out.substr(kMagic.size());
-  sealed += records;
-  writer(Checksum(sealed));
-  writer.out += records;
-  return std::move(writer.out);
+  writer.Append(kMagic);
+  writer.Code(header.rank, header.incarnation, ChecksumOf(header, records));
+  writer.Append(records);
+  return writer.Take();
 }
 
 std::optional<Datagram> DecodeDatagram(std::string_view bytes) {
@@ -132,19 +158,13 @@
   Reader reader(bytes.substr(kMagic.size()));
   Datagram out;
   std::uint32_t checksum = 0;
-  reader(out.header.rank);
-  reader(out.header.incarnation);
-  reader(checksum);
-  if (!reader.sound) return std::nullopt;
-  std::string sealed(bytes.substr(kMagic.size(), sizeof out.header.rank + sizeof out.header.incarnation));
-  sealed += reader.rest;
-  if (Checksum(sealed) != checksum) return std::nullopt;
-  while (!reader.rest.empty()) {
+  reader.Code(out.header.rank, out.header.incarnation, checksum);
+  if (!reader.ok() || ChecksumOf(out.header, reader.rest()) != checksum) return std::nullopt;
+  while (!reader.rest().empty()) {
     std::uint8_t kind = 0;
-    reader(kind);
-    if (!ReadRecord(kind, reader, out.records.emplace_back()) || !IsSound(out.records.back())) {
-      return std::nullopt;
-    }
+    reader.Code(kind);
+    Record& record = out.records.emplace_back();
+    if (!ReadRecord(kind, reader, record) || !HasValidEnums(record)) return std::nullopt;
   }
   return out;
 }
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -18,11 +18,11 @@
 
 FailureReason ToReason(idempotency::FailureReason reason) {
   switch (reason) {
-    case idempotency::FailureReason::kUnknown:
+    case idempotency::FailureReason::kUnknownOutcome:
       return FailureReason::kUnknown;
-    case idempotency::FailureReason::kOther:
+    case idempotency::FailureReason::kFingerprintMismatch:
       return FailureReason::kOtherKey;
-    case idempotency::FailureReason::kAnswerGone:
+    case idempotency::FailureReason::kAnswerDropped:
       return FailureReason::kAnswerGone;
   }
   return FailureReason::kFailed;
@@ -247,7 +247,7 @@
 Planner::PickResult Planner::Pick(const Request& request, Clock::time_point now) {
   actions_.clear();
   const RequestId number = next_number_++;
-  if (const std::optional<idempotency::Ask> ask = ToAsk(request, number, At(now))) {
+  if (const std::optional<idempotency::KeyedRequest> ask = ToAsk(request, number, At(now))) {
     RefreshPods(last_);
     ApplyIdempotency(replica_->Begin(*ask, last_), last_);
     FinishKeyedRequests(last_);
@@ -296,7 +296,7 @@
     }
     auto* attempt = std::get_if<AttemptReport>(&report);
     if (attempt != nullptr && attempt->result == AttemptResult::kServed && NeedsAnswer(attempt->request)) {
-      finished_.push_back({attempt->request, idempotency::End::kServed, std::move(attempt->value)});
+      finished_.push_back({attempt->request, idempotency::WorkResult::kServed, std::move(attempt->value)});
     }
     Handle(std::visit([this](auto& r) { return ToEvent(std::move(r)); }, report), at);
   }
@@ -348,7 +348,7 @@
 
 // ---- The store of keys ----
 
-std::optional<idempotency::Ask> Planner::ToAsk(const Request& request, RequestId number,
+std::optional<idempotency::KeyedRequest> Planner::ToAsk(const Request& request, RequestId number,
                                                TimePoint now) const {
   if (!replica_ || request.key.empty()) return std::nullopt;
   const auto cls = std::find_if(settings_.classes.begin(), settings_.classes.end(),
@@ -356,15 +356,15 @@
   const auto plan = std::find_if(settings_.plans.begin(), settings_.plans.end(),
                                  [&](const PlanSettings& p) { return p.name == request.plan; });
   if (cls == settings_.classes.end() || plan == settings_.plans.end()) return std::nullopt;
-  idempotency::Ask out;
+  idempotency::KeyedRequest out;
   out.waiter = number;
   out.key = idempotency::DigestKey(request.customer, request.class_name, request.key);
   out.fingerprint = idempotency::DigestRequest(request.customer, request.class_name, request.key,
                                                request.units, request.body);
   out.customer = idempotency::DigestCustomer(request.customer);
   out.deadline = now + std::max(std::chrono::milliseconds(1), request.timeout - kOnTheWay);
-  out.window = cls->key_ttl;
-  out.pinned = cls->scope != Scope::kAll;
+  out.dedup_window = cls->key_ttl;
+  out.sticky = cls->scope != Scope::kAll;
   std::copy_n(request.customer.begin(), std::min(request.customer.size(), out.work.customer.size()),
               out.work.customer.begin());
   out.work.class_index = static_cast<std::int16_t>(cls - settings_.classes.begin());
@@ -399,12 +399,13 @@
     if (auto* start = std::get_if<idempotency::StartRequest>(&action)) {
       RequestEvent event = ToRequest(start->work, start->waiter, start->deadline - now);
       KeyPin& pin = event.pin.emplace();
-      pin.may_have_run = start->pin.may_have_run;
-      pin.age = start->pin.age;
-      if (const auto pod = pods_.find(start->pin.pod); start->pin.has_pod) {
+      pin.may_have_run = start->placement.may_have_run;
+      pin.age = start->placement.age;
+      if (start->placement.group) {
+        const auto pod = pods_.find(*start->placement.group);
         // A pod that no upstream belongs to any more: its number alone tells that nothing may go elsewhere.
         pin.bound = true;
-        pin.cell = start->pin.pod;
+        pin.cell = *start->placement.group;
         if (pod != pods_.end()) pin.zone = pod->second.zone;
       }
       Handle(std::move(event), now);
@@ -422,8 +423,6 @@
       actions_.emplace_back(ReleaseRequest{forget->waiter});
     } else if (auto* broadcast = std::get_if<idempotency::SendDatagram>(&action)) {
       actions_.emplace_back(SendDatagram{broadcast->rank, std::move(broadcast->bytes)});
-    } else if (auto* note = std::get_if<idempotency::LogEvent>(&action)) {
-      actions_.emplace_back(LogEvent{std::move(note->line)});
     }
   }
 }
@@ -468,9 +467,9 @@
     if (now - upstream.started >= settings_.warm_within) ++warm[upstream.cell];
   }
   // Keys go to pods that are warm: a cold one would have to turn most of them away.
-  std::vector<idempotency::Pod> pods;
+  std::vector<idempotency::UpstreamGroup> pods;
   for (const auto& [id, count] : warm.empty() ? ready : warm) pods.push_back({id, count});
-  replica_->SetPods(std::move(pods));
+  replica_->SetUpstreamGroups(std::move(pods));
 }
 
 Event Planner::ToEvent(AttemptReport&& report) {
@@ -536,7 +535,7 @@
 void Planner::Translate(postspread::Refuse&& action, TimePoint) {
   open_.erase(action.id);
   if (NeedsAnswer(action.id)) {
-    finished_.push_back({action.id, idempotency::End::kRefused, {}, action.retry_after});
+    finished_.push_back({action.id, idempotency::WorkResult::kRejected, {}, action.retry_after});
     return;
   }
   actions_.emplace_back(RejectWithRetryAfter{action.id, action.retry_after});
@@ -544,7 +543,7 @@
 
 void Planner::Translate(postspread::Fail&& action, TimePoint) {
   open_.erase(action.id);
-  if (NeedsAnswer(action.id)) return finished_.push_back({action.id, idempotency::End::kFailed, {}});
+  if (NeedsAnswer(action.id)) return finished_.push_back({action.id, idempotency::WorkResult::kFailed, {}});
   actions_.emplace_back(planner::FailRequest{action.id});
 }
 
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -103,13 +103,13 @@
 
   struct FinishedWork {  // work under a key
     RequestId number = 0;
-    idempotency::End end = idempotency::End::kFailed;
+    idempotency::WorkResult end = idempotency::WorkResult::kFailed;
     std::string value;
     Duration retry_after{0};
   };
 
   TimePoint At(Clock::time_point now);
-  std::optional<idempotency::Ask> ToAsk(const Request& request, RequestId number, TimePoint now) const;
+  std::optional<idempotency::KeyedRequest> ToAsk(const Request& request, RequestId number, TimePoint now) const;
   RequestEvent ToRequest(const idempotency::Work& work, RequestId number, Duration time_left);
   void ApplyIdempotency(idempotency::Actions actions, TimePoint now);
   void FinishKeyedRequests(TimePoint now);
--- a/tests/idempotency/peers_test.cpp
+++ b/tests/idempotency/peers_test.cpp
@@ -1,4 +1,4 @@
-// Lives of peers, which are numbered by their wall clock at their start.
+// Incarnations of peers, which are numbered by the wall clock at their start.
 #include "idempotency/peers.h"
 
 #include <catch2/catch.hpp>
@@ -7,32 +7,33 @@
 namespace {
 
 constexpr Duration kSecond{1'000'000};
-constexpr std::uint64_t kLife = 1'700'000'000'000'000, kHour = 3'600'000'000;
+constexpr std::uint64_t kIncarnation = 1'700'000'000'000'000, kHour = 3'600'000'000;
 
 TEST_CASE(
-    "a peer that starts again on a clock that was stepped back is heard once its former life is silent") {
-  Peers peers(0, 3, kLife, Limits{});
+    "a peer that restarts on a clock that was stepped back is accepted once its former incarnation is "
+    "silent") {
+  Peers peers(0, 3, kIncarnation, Limits{});
   const TimePoint begin = 1'000 * kSecond;
-  CHECK(peers.Heard(1, kLife + kHour, begin));
-  // What the former life sent may still be under way.
-  CHECK_FALSE(peers.Heard(1, kLife, begin + kSecond));
-  CHECK_FALSE(peers.Restarted(1, kLife + kHour));
-  CHECK(peers.Heard(1, kLife + 1, begin + 11 * kSecond));
-  CHECK(peers.Restarted(1, kLife + kHour));
-  CHECK(peers.Incarnation(1) == kLife + 1);
-  // From then on that is its life, and a further start is a higher one.
-  CHECK(peers.Heard(1, kLife + 1, begin + 12 * kSecond));
-  CHECK(peers.Heard(1, kLife + 2, begin + 12 * kSecond));
+  CHECK(peers.OnDatagram(1, kIncarnation + kHour, begin));
+  // Datagrams of the former incarnation may still be on their way.
+  CHECK_FALSE(peers.OnDatagram(1, kIncarnation, begin + kSecond));
+  CHECK_FALSE(peers.HasRestarted(1, kIncarnation + kHour));
+  CHECK(peers.OnDatagram(1, kIncarnation + 1, begin + 11 * kSecond));
+  CHECK(peers.HasRestarted(1, kIncarnation + kHour));
+  CHECK(peers.Incarnation(1) == kIncarnation + 1);
+  // From then on that is its incarnation, and a further start is a higher one.
+  CHECK(peers.OnDatagram(1, kIncarnation + 1, begin + 12 * kSecond));
+  CHECK(peers.OnDatagram(1, kIncarnation + 2, begin + 12 * kSecond));
 }
 
-TEST_CASE("a former life that goes on sending beside its successor is not taken for a new start") {
-  Peers peers(0, 3, kLife, Limits{});
+TEST_CASE("a former incarnation that keeps sending beside its successor is not taken for a restart") {
+  Peers peers(0, 3, kIncarnation, Limits{});
   TimePoint now = 1'000 * kSecond;
-  CHECK(peers.Heard(1, kLife, now));
+  CHECK(peers.OnDatagram(1, kIncarnation, now));
   for (int i = 0; i < 20; ++i) {
     now += kSecond;
-    CHECK(peers.Heard(1, kLife + 5, now));
-    CHECK_FALSE(peers.Heard(1, kLife, now));
+    CHECK(peers.OnDatagram(1, kIncarnation + 5, now));
+    CHECK_FALSE(peers.OnDatagram(1, kIncarnation, now));
   }
 }
 
--- a/tests/idempotency/wire_test.cpp
+++ b/tests/idempotency/wire_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams between replicas: what is written is read, and what is spoilt is refused whole.
+// Datagrams between replicas: what is encoded is decoded, and what is corrupt is rejected as a whole.
 #include "idempotency/wire.h"
 
 #include <catch2/catch.hpp>
@@ -10,52 +10,52 @@
 std::vector<Record> OneOfEach() {
   const KeyId key{0x0123456789abcdefULL, 0xfedcba9876543210ULL};
   return {ClaimRecord{key, 5, 6, 7, 1, -8, 15'000},
-          VoteRecord{.key = key, .round = 9, .verdict = Verdict::kClearFresh, .mark = 3},
-          VoteRecord{key, 9, Verdict::kHeld, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown, 1, 44, 99},
+          VoteRecord{.key = key, .round = 9, .kind = VoteKind::kGrantedRecovering, .reference_round = 3},
+          VoteRecord{key, 9, VoteKind::kHeld, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown, 1, 44, 99},
           OutcomeRecord{key, 10, 1, Phase::kAnsweredNoValue, 11},
           FetchRecord{key, 32, 0xffffffff},
           FragmentRecord{key, 319, 66'560, std::string(kFragmentBytes, 'x')}};
 }
 
-TEST_CASE("records are read as they were written, and each fits a datagram with room for the header") {
+TEST_CASE("records are decoded as they were encoded, and each fits a datagram together with the header") {
   for (const Record& record : OneOfEach()) {
-    const std::string bytes = Seal({2, 77}, EncodeRecord(record));
+    const std::string bytes = EncodeDatagram({2, 77}, EncodeRecord(record));
     CHECK(bytes.size() <= kMaxDatagram);
-    const auto read = DecodeDatagram(bytes);
-    REQUIRE(read);
-    CHECK(read->header.rank == 2);
-    CHECK(read->header.incarnation == 77);
-    REQUIRE(read->records.size() == 1);
-    CHECK(read->records[0] == record);
+    const auto decoded = DecodeDatagram(bytes);
+    REQUIRE(decoded);
+    CHECK(decoded->header.rank == 2);
+    CHECK(decoded->header.incarnation == 77);
+    REQUIRE(decoded->records.size() == 1);
+    CHECK(decoded->records[0] == record);
   }
 }
 
-TEST_CASE("a datagram that is cut anywhere, or has any bit turned, is refused whole") {
+TEST_CASE("a datagram that is truncated anywhere, or has any bit flipped, is rejected as a whole") {
   std::string records;
   for (const Record& record : OneOfEach()) {
     if (!std::holds_alternative<FragmentRecord>(record)) records += EncodeRecord(record);
   }
-  const std::string bytes = Seal({1, 5}, records);
+  const std::string bytes = EncodeDatagram({1, 5}, records);
   REQUIRE(bytes.size() <= kMaxDatagram);
   REQUIRE(DecodeDatagram(bytes)->records.size() == 5);
   for (std::size_t size = 0; size < bytes.size(); ++size) CHECK_FALSE(DecodeDatagram(bytes.substr(0, size)));
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
-    std::string spoilt = bytes;
-    spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ (1 << (bit % 8)));
-    CHECK_FALSE(DecodeDatagram(spoilt));
+    std::string corrupt = bytes;
+    corrupt[bit / 8] = static_cast<char>(corrupt[bit / 8] ^ (1 << (bit % 8)));
+    CHECK_FALSE(DecodeDatagram(corrupt));
   }
 }
 
-TEST_CASE("random bytes behind a sound header never make anything but sound records") {
+TEST_CASE("random bytes behind a valid header decode to valid records or not at all") {
   std::mt19937 random(4);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes(random() % 240, '\0');
     for (char& c : bytes) c = static_cast<char>(random());
     if (!bytes.empty()) bytes[0] = static_cast<char>(random() % 6);
-    const auto read = DecodeDatagram(Seal({0, 1}, bytes));
-    if (!read) continue;
+    const auto decoded = DecodeDatagram(EncodeDatagram({0, 1}, bytes));
+    if (!decoded) continue;
     std::string again;
-    for (const Record& record : read->records) again += EncodeRecord(record);
+    for (const Record& record : decoded->records) again += EncodeRecord(record);
     CHECK(again == bytes);
   }
 }
