--- a/src/idempotency/action_writer.h
+++ b/src/idempotency/action_writer.h
@@ -42,7 +42,7 @@
  private:
   template <typename A>
   void Answer(const Waiter& waiter, A answer) {
-    if (waiter.client_gone) return Add(ReleaseRequest{waiter.id});
+    if (waiter.client_disconnected) return Add(ReleaseRequest{waiter.id});
     Add(std::move(answer));
   }
 
--- a/src/idempotency/answer_fetcher.cpp
+++ b/src/idempotency/answer_fetcher.cpp
@@ -8,7 +8,7 @@
 namespace postspread::idempotency {
 namespace {
 
-constexpr std::uint16_t kFetchWindow = 32;  // fragments a request: the bits of FetchRecord::wanted
+constexpr std::uint16_t kFetchWindow = 32;  // fragments a request: the bits of FetchRecord::requested
 
 }  // namespace
 
@@ -16,10 +16,10 @@
   FragmentAssembly& assembly = entry.assembly;
   if (!assembly.active) assembly = FragmentAssembly{.active = true};
   const std::size_t count = assembly.total_bytes == 0 ? kFetchWindow : assembly.Count();
-  FetchRecord fetch{.key = entry.key, .first = assembly.first_missing, .wanted = 0};
+  FetchRecord fetch{.key = entry.key, .first = assembly.first_missing, .requested = 0};
   for (std::uint16_t offset = 0; offset < kFetchWindow; ++offset) {
     const std::size_t index = static_cast<std::size_t>(assembly.first_missing) + offset;
-    if (index < count && !assembly.Has(index)) fetch.wanted |= std::uint32_t{1} << offset;
+    if (index < count && !assembly.Has(index)) fetch.requested |= std::uint32_t{1} << offset;
   }
   peers_.Queue(entry.holder.rank, fetch, Response::kExpected, now);
   entry.next_attempt = now + RetryInterval(limits_) + PacedSpan(kFetchWindow, limits_);
@@ -35,7 +35,7 @@
   if (fragment.total == 0 || fragment.total > kMaxAnswer) return FetchProgress::kIgnored;
   if (assembly.total_bytes == 0) {
     assembly.total_bytes = fragment.total;
-    if (!store_.ReserveAnswer(entry, fragment.total)) return FetchProgress::kNoRoom;
+    if (!store_.ReserveAnswer(entry, fragment.total)) return FetchProgress::kNoCapacity;
     entry.answer.assign(fragment.total, '\0');
   }
   const std::size_t count = assembly.Count();
@@ -65,7 +65,7 @@
   const auto total = static_cast<std::uint32_t>(entry.answer.size());
   for (std::uint16_t offset = 0; offset < kFetchWindow; ++offset) {
     const std::size_t begin = (static_cast<std::size_t>(fetch.first) + offset) * kFragmentBytes;
-    if ((fetch.wanted >> offset & 1) == 0 || begin >= total) continue;
+    if ((fetch.requested >> offset & 1) == 0 || begin >= total) continue;
     const FragmentRecord fragment{.key = entry.key,
                                   .index = static_cast<std::uint16_t>(fetch.first + offset),
                                   .total = total,
--- a/src/idempotency/answer_fetcher.h
+++ b/src/idempotency/answer_fetcher.h
@@ -15,7 +15,7 @@
 enum class FetchProgress {
   kIgnored,     // the fragment is not one that is missing
   kIncomplete,  // more fragments are missing
-  kNoRoom,      // the store has no room for the answer
+  kNoCapacity,  // the store has no room for the answer
   kComplete,    // the entry's answer is whole
 };
 
--- a/src/idempotency/claim_protocol.cpp
+++ b/src/idempotency/claim_protocol.cpp
@@ -59,27 +59,27 @@
 
 EntryFate ClaimProtocol::RetryClaim(Entry& entry, TimePoint now) {
   if (SettleClaim(entry, now) == EntryFate::kRemoved) return EntryFate::kRemoved;
-  if (entry.state != KeyState::kClaiming) return EntryFate::kKept;
+  if (entry.state != KeyState::kClaiming) return EntryFate::kPresent;
   const ClaimRecord claim = ToClaim(entry);
   for (const int rank : entry.claim.awaiting) peers_.Queue(rank, claim, Response::kExpected, now);
   entry.next_attempt = now + RetryInterval(limits_);
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 // Starts the work once every vote has arrived that can.
 EntryFate ClaimProtocol::SettleClaim(Entry& entry, TimePoint now) {
   SendMissingClaims(entry, now);
-  if (!entry.claim.awaiting.empty()) return EntryFate::kKept;
+  if (!entry.claim.awaiting.empty()) return EntryFate::kPresent;
   if (!entry.claim.confirmed) {
     ++counts_.unconfirmed;
     if (limits_.unvouched == Unvouched::kDefer) {
       actions_.RejectAll(entry, kStoreFullRetryAfter);
-      Abandon(entry, now);
+      CancelClaim(entry, now);
       return EntryFate::kRemoved;
     }
   }
   runner_.StartFirstAttempt(entry, now);
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 // Claims the key at replicas that have not been asked yet, and stops waiting for those that are away.
@@ -160,12 +160,12 @@
   }
 }
 
-void ClaimProtocol::Abandon(Entry& entry, TimePoint now) {
+void ClaimProtocol::CancelClaim(Entry& entry, TimePoint now) {
   Withdraw(entry, now);
   store_.Remove(entry);
 }
 
-void ClaimProtocol::AbandonForCapacity(Entry& entry, TimePoint now) {
+void ClaimProtocol::CancelForCapacity(Entry& entry, TimePoint now) {
   if (limits_.when_full == WhenFull::kPass) {
     counts_.full_unprotected += entry.waiters.size();
     actions_.StartAllUnprotected(entry);
@@ -173,7 +173,7 @@
     counts_.full_rejected += entry.waiters.size();
     actions_.RejectAll(entry, kStoreFullRetryAfter);
   }
-  Abandon(entry, now);
+  CancelClaim(entry, now);
 }
 
 void ClaimProtocol::AnnounceOutcome(const Entry& entry, TimePoint now) {
--- a/src/idempotency/claim_protocol.h
+++ b/src/idempotency/claim_protocol.h
@@ -21,7 +21,7 @@
 namespace postspread::idempotency {
 
 // Whether an entry is still in the store after a step.
-enum class EntryFate { kKept, kRemoved };
+enum class EntryFate { kPresent, kRemoved };
 
 class ClaimProtocol {
  public:
@@ -54,9 +54,9 @@
   void Withdraw(const Entry& entry, TimePoint now);
   void WithdrawExcept(const Entry& entry, int except_rank, TimePoint now);
   // Withdraws the claim and forgets the key.
-  void Abandon(Entry& entry, TimePoint now);
+  void CancelClaim(Entry& entry, TimePoint now);
   // A replica has no room for the claim: ends the waiters as for a full store.
-  void AbandonForCapacity(Entry& entry, TimePoint now);
+  void CancelForCapacity(Entry& entry, TimePoint now);
   // Notifies the peers that asked about the key.
   void AnnounceOutcome(const Entry& entry, TimePoint now);
 
--- a/src/idempotency/counts.h
+++ b/src/idempotency/counts.h
@@ -17,7 +17,7 @@
   std::uint64_t fetched = 0;   // answers transferred from a peer
   // Waiters that failed, by reason.
   std::uint64_t fingerprint_mismatches = 0, unknown_outcomes = 0, dropped_answers = 0;
-  // New keys without room, and keys that no peer could confirm as new.
+  // New keys that the store had no capacity for, and keys that no peer could confirm as new.
   std::uint64_t full_rejected = 0, full_unprotected = 0, unconfirmed = 0;
   std::uint64_t values_evicted = 0;  // answers that lost their room or never found any
   std::uint64_t datagrams_sent = 0, datagrams_received = 0, datagrams_invalid = 0;
--- a/src/idempotency/entry.cpp
+++ b/src/idempotency/entry.cpp
@@ -22,7 +22,7 @@
       return has_answer ? Phase::kAnswered : Phase::kAnsweredNoValue;
     case KeyState::kUnknownOutcome:
       return executed ? Phase::kAnsweredNoValue : Phase::kUnknown;
-    case KeyState::kHeldByPeer:
+    case KeyState::kClaimedByPeer:
       return holder.phase;
     case KeyState::kNew:
     case KeyState::kClaiming:
@@ -40,7 +40,7 @@
     if (!IsRunning(waiter.id)) next = std::min(next, waiter.deadline);
   }
   const bool asks_peers =
-      state == KeyState::kClaiming || (state == KeyState::kHeldByPeer && !waiters.empty());
+      state == KeyState::kClaiming || (state == KeyState::kClaimedByPeer && !waiters.empty());
   return asks_peers ? std::min(next, next_attempt) : next;
 }
 
--- a/src/idempotency/entry.h
+++ b/src/idempotency/entry.h
@@ -21,7 +21,7 @@
   WaiterId id = 0;
   TimePoint deadline{0};
   Work work;
-  bool client_gone = false;  // kept all the same, for its request is the one that runs
+  bool client_disconnected = false;  // kept all the same, for its request is the one that runs
 };
 
 // The attempt that runs here, in kRunning.
@@ -35,13 +35,13 @@
 struct OwnClaim {
   std::uint32_t round = 0;
   bool confirmed = false;        // kClaiming: a gateway that cannot have forgotten knows nothing of the key
-  bool is_status_query = false;  // kHeldByPeer: the question went to the holder
+  bool is_status_query = false;  // kClaimedByPeer: the question went to the holder
   TimePoint first_sent{0};
   RankSet awaiting;    // kClaiming: replicas whose votes are missing
   RankSet recipients;  // replicas that may have recorded the claim
 };
 
-// The peer's claim that this gateway recorded or heard of, in kHeldByPeer.
+// The peer's claim that this gateway recorded or heard of, in kClaimedByPeer.
 struct HolderClaim {
   std::uint16_t rank = 0;
   Phase phase = Phase::kRunning;  // as last reported
@@ -71,7 +71,7 @@
   Duration dedup_window{0};
   TimePoint sent{0};          // when its work began, on whichever gateway; the window counts from here
   TimePoint expires{0};       // it is forgotten then, unless its work runs
-  TimePoint next_attempt{0};  // kClaiming, kHeldByPeer with waiters: when peers are asked again
+  TimePoint next_attempt{0};  // kClaiming, kClaimedByPeer with waiters: when peers are asked again
   TimePoint due{0};           // its position in the store's index of times
   RunningAttempt running;
   OwnClaim claim;
@@ -92,10 +92,10 @@
   [[nodiscard]] bool IsRunning(WaiterId waiter) const {
     return state == KeyState::kRunning && running.waiter == waiter;
   }
-  [[nodiscard]] bool IsHeldBy(int rank, std::uint64_t incarnation) const {
-    return state == KeyState::kHeldByPeer && holder.rank == rank && holder.incarnation == incarnation;
+  [[nodiscard]] bool IsClaimedBy(int rank, std::uint64_t incarnation) const {
+    return state == KeyState::kClaimedByPeer && holder.rank == rank && holder.incarnation == incarnation;
   }
-  // What peers are told of the key.
+  // What peers learn about the key.
   [[nodiscard]] Phase ReportedPhase() const;
   // Why a waiter fails whose answer is out of reach.
   [[nodiscard]] FailureReason LossReason() const {
--- a/src/idempotency/key_state.h
+++ b/src/idempotency/key_state.h
@@ -14,11 +14,11 @@
   kRunning,         // its work runs here
   kAnswered,        // it was executed and is known here; its answer may have been evicted
   kUnknownOutcome,  // its work ended and may have run
-  kHeldByPeer,      // a peer holds it
+  kClaimedByPeer,   // a peer holds it
 };
 inline constexpr KeyState kAllKeyStates[] = {
     KeyState::kNew,      KeyState::kClaiming,       KeyState::kRunning,
-    KeyState::kAnswered, KeyState::kUnknownOutcome, KeyState::kHeldByPeer};
+    KeyState::kAnswered, KeyState::kUnknownOutcome, KeyState::kClaimedByPeer};
 
 enum class KeyEvent : std::uint8_t {
   kClaimStarted,      // this gateway asks for the key
@@ -44,21 +44,21 @@
 };
 inline constexpr KeyTransition kKeyTransitions[] = {
     {KeyState::kNew, KeyEvent::kClaimStarted, KeyState::kClaiming},
-    {KeyState::kNew, KeyEvent::kPeerClaimed, KeyState::kHeldByPeer},
+    {KeyState::kNew, KeyEvent::kPeerClaimed, KeyState::kClaimedByPeer},
     {KeyState::kClaiming, KeyEvent::kClaimGranted, KeyState::kRunning},
-    {KeyState::kClaiming, KeyEvent::kHolderFound, KeyState::kHeldByPeer},
-    {KeyState::kClaiming, KeyEvent::kPeerClaimed, KeyState::kHeldByPeer},
+    {KeyState::kClaiming, KeyEvent::kHolderFound, KeyState::kClaimedByPeer},
+    {KeyState::kClaiming, KeyEvent::kPeerClaimed, KeyState::kClaimedByPeer},
     {KeyState::kClaiming, KeyEvent::kOwnClaimRecalled, KeyState::kUnknownOutcome},
     {KeyState::kRunning, KeyEvent::kServed, KeyState::kAnswered},
     {KeyState::kRunning, KeyEvent::kAnswerLost, KeyState::kAnswered},
     {KeyState::kRunning, KeyEvent::kOutcomeLost, KeyState::kUnknownOutcome},
     {KeyState::kAnswered, KeyEvent::kResumed, KeyState::kRunning},
     {KeyState::kUnknownOutcome, KeyEvent::kResumed, KeyState::kRunning},
-    {KeyState::kHeldByPeer, KeyEvent::kClaimStarted, KeyState::kClaiming},
-    {KeyState::kHeldByPeer, KeyEvent::kPeerClaimed, KeyState::kHeldByPeer},
-    {KeyState::kHeldByPeer, KeyEvent::kOwnClaimRecalled, KeyState::kUnknownOutcome},
-    {KeyState::kHeldByPeer, KeyEvent::kResumed, KeyState::kRunning},
-    {KeyState::kHeldByPeer, KeyEvent::kAnswerFetched, KeyState::kAnswered},
+    {KeyState::kClaimedByPeer, KeyEvent::kClaimStarted, KeyState::kClaiming},
+    {KeyState::kClaimedByPeer, KeyEvent::kPeerClaimed, KeyState::kClaimedByPeer},
+    {KeyState::kClaimedByPeer, KeyEvent::kOwnClaimRecalled, KeyState::kUnknownOutcome},
+    {KeyState::kClaimedByPeer, KeyEvent::kResumed, KeyState::kRunning},
+    {KeyState::kClaimedByPeer, KeyEvent::kAnswerFetched, KeyState::kAnswered},
 };
 
 // The state that follows; nothing where the event cannot occur in this state.
--- a/src/idempotency/peer_messages.cpp
+++ b/src/idempotency/peer_messages.cpp
@@ -38,13 +38,13 @@
 void PeerMessageHandler::On(int from, const ClaimRecord& claim, TimePoint now) {
   Entry* const entry = store_.Find(claim.key);
   if (entry == nullptr) return OnFirstClaim(from, claim, now);
-  if (entry->IsHeldBy(from, peers_.Incarnation(from))) return OnHolderClaim(*entry, from, claim, now);
+  if (entry->IsClaimedBy(from, peers_.Incarnation(from))) return OnHolderClaim(*entry, from, claim, now);
   if (entry->state == KeyState::kClaiming && TakesPrecedence(claim.key, from, identity_.rank)) {
     return OnPrecedingClaim(*entry, from, claim, now);
   }
   if (entry->fingerprint != claim.fingerprint) return Vote(from, claim, VoteKind::kFingerprintMismatch, now);
   entry->interested.Add(from);
-  peers_.Queue(from, HeldVote(*entry, claim.round, now), Response::kNone, now);
+  peers_.Queue(from, AlreadyClaimedVote(*entry, claim.round, now), Response::kNone, now);
 }
 
 void PeerMessageHandler::OnFirstClaim(int from, const ClaimRecord& claim, TimePoint now) {
@@ -105,14 +105,15 @@
   Vote(to, claim, claims_.IsRecovering(now) ? VoteKind::kGrantedRecovering : VoteKind::kGranted, now);
 }
 
-VoteRecord PeerMessageHandler::HeldVote(const Entry& entry, std::uint32_t round, TimePoint now) const {
-  const bool held_by_peer = entry.state == KeyState::kHeldByPeer;
+VoteRecord PeerMessageHandler::AlreadyClaimedVote(const Entry& entry, std::uint32_t round,
+                                                  TimePoint now) const {
+  const bool claimed_by_peer = entry.state == KeyState::kClaimedByPeer;
   return {.key = entry.key,
           .round = round,
-          .kind = VoteKind::kHeld,
-          .reference_round = held_by_peer ? entry.holder.round : entry.claim.round,
-          .holder = held_by_peer ? entry.holder.rank : static_cast<std::uint16_t>(identity_.rank),
-          .holder_incarnation = held_by_peer ? entry.holder.incarnation : identity_.incarnation,
+          .kind = VoteKind::kAlreadyClaimed,
+          .reference_round = claimed_by_peer ? entry.holder.round : entry.claim.round,
+          .holder = claimed_by_peer ? entry.holder.rank : static_cast<std::uint16_t>(identity_.rank),
+          .holder_incarnation = claimed_by_peer ? entry.holder.incarnation : identity_.incarnation,
           .phase = entry.ReportedPhase(),
           .has_group = entry.group.has_value(),
           .group = entry.group.value_or(0),
@@ -124,13 +125,14 @@
 void PeerMessageHandler::On(int from, const VoteRecord& vote, TimePoint now) {
   Entry* const entry = store_.Find(vote.key);
   if (entry == nullptr || vote.round != entry->claim.round) return;
-  EntryFate fate = EntryFate::kKept;
+  EntryFate fate = EntryFate::kPresent;
   if (entry->state == KeyState::kClaiming) {
     fate = OnVoteWhileClaiming(*entry, from, vote, now);
-  } else if (entry->state == KeyState::kHeldByPeer && from == entry->holder.rank && !entry->waiters.empty()) {
+  } else if (entry->state == KeyState::kClaimedByPeer && from == entry->holder.rank &&
+             !entry->waiters.empty()) {
     fate = OnHolderVote(*entry, from, vote, now);
   }
-  if (fate == EntryFate::kKept) store_.Reschedule(*entry);
+  if (fate == EntryFate::kPresent) store_.Reschedule(*entry);
 }
 
 EntryFate PeerMessageHandler::OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote,
@@ -147,9 +149,9 @@
       store_.Remove(entry);
       return EntryFate::kRemoved;
     case VoteKind::kNoCapacity:
-      claims_.AbandonForCapacity(entry, now);
+      claims_.CancelForCapacity(entry, now);
       return EntryFate::kRemoved;
-    case VoteKind::kHeld:
+    case VoteKind::kAlreadyClaimed:
       break;
   }
   const bool is_own_rank = vote.holder == identity_.rank;
@@ -161,7 +163,7 @@
   if (is_own_claim || is_withdrawn) return claims_.OnVoteCounted(entry, from, now);
   if (is_own_rank) {
     claims_.RecoverOwnWork(entry, vote, now);
-    return EntryFate::kKept;
+    return EntryFate::kPresent;
   }
   return OnHolderFound(entry, from, vote, now);
 }
@@ -174,7 +176,7 @@
   claims_.ApplyPlacement(entry, vote);
   if (from == vote.holder) return OnHolderVote(entry, from, vote, now);
   claims_.QueryHolder(entry, now);
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 // The holder's response to a status query, or its vote on our claim.
@@ -185,21 +187,21 @@
       return OnHolderForgot(entry, vote, now);
     case VoteKind::kFingerprintMismatch:
       actions_.FailAll(entry, FailureReason::kFingerprintMismatch);
-      return EntryFate::kKept;
+      return EntryFate::kPresent;
     case VoteKind::kNoCapacity:
       actions_.RejectAll(entry, kStoreFullRetryAfter);
-      return EntryFate::kKept;
-    case VoteKind::kHeld:
+      return EntryFate::kPresent;
+    case VoteKind::kAlreadyClaimed:
       return OnHolderStatus(entry, from, vote, now);
   }
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 // The holder knows nothing of the key: its claim is withdrawn, unless it has restarted and lost it.
 EntryFate PeerMessageHandler::OnHolderForgot(Entry& entry, const VoteRecord& vote, TimePoint now) {
   if (peers_.Incarnation(entry.holder.rank) != entry.holder.incarnation) {
     claims_.QueryHolder(entry, now);
-    return EntryFate::kKept;
+    return EntryFate::kPresent;
   }
   entry.withdrawn = {.rank = entry.holder.rank,
                      .before_round = vote.reference_round,
@@ -212,7 +214,7 @@
     // It takes this gateway for the holder, which has nothing: neither has the other.
     if (vote.holder_incarnation == identity_.incarnation) return claims_.StartClaim(entry, now);
     claims_.RecoverOwnWork(entry, vote, now);
-    return EntryFate::kKept;
+    return EntryFate::kPresent;
   }
   claims_.ApplyPlacement(entry, vote);
   entry.holder.rank = vote.holder;
@@ -223,7 +225,7 @@
   } else {
     OnHolderPhase(entry, now);
   }
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 // The holder's work has ended.
@@ -237,7 +239,7 @@
 
 void PeerMessageHandler::On(int from, const OutcomeRecord& outcome, TimePoint now) {
   Entry* const entry = store_.Find(outcome.key);
-  if (entry == nullptr || !entry->IsHeldBy(from, peers_.Incarnation(from))) return;
+  if (entry == nullptr || !entry->IsClaimedBy(from, peers_.Incarnation(from))) return;
   if (outcome.round < entry->holder.round) return;
   fetcher_.Cancel(*entry);
   if (outcome.withdrawn != 0) {
@@ -245,7 +247,7 @@
     const std::uint32_t round = outcome.round == kAnyRound ? entry->holder.round : outcome.round;
     entry->withdrawn = {
         .rank = entry->holder.rank, .before_round = round + 1, .incarnation = entry->holder.incarnation};
-    if (claims_.StartClaim(*entry, now) == EntryFate::kKept) store_.Reschedule(*entry);
+    if (claims_.StartClaim(*entry, now) == EntryFate::kPresent) store_.Reschedule(*entry);
     return;
   }
   entry->SetPhase(outcome.phase);
@@ -270,14 +272,14 @@
 
 void PeerMessageHandler::On(int from, const FragmentRecord& fragment, TimePoint now) {
   Entry* const entry = store_.Find(fragment.key);
-  if (entry == nullptr || entry->state != KeyState::kHeldByPeer) return;
+  if (entry == nullptr || entry->state != KeyState::kClaimedByPeer) return;
   if (!entry->assembly.active || entry->holder.rank != from) return;
   switch (fetcher_.OnFragment(*entry, fragment, now)) {
     case FetchProgress::kIgnored:
       return;
     case FetchProgress::kIncomplete:
       break;
-    case FetchProgress::kNoRoom:
+    case FetchProgress::kNoCapacity:
       // The work was executed: only an upstream that drops repeats can give its answer.
       runner_.Resume(*entry, now);
       break;
--- a/src/idempotency/peer_messages.h
+++ b/src/idempotency/peer_messages.h
@@ -48,7 +48,7 @@
   void RecordHolder(Entry& entry, int from, const ClaimRecord& claim, TimePoint now);
   void Vote(int to, const ClaimRecord& claim, VoteKind kind, TimePoint now);
   void Grant(int to, const ClaimRecord& claim, TimePoint now);
-  [[nodiscard]] VoteRecord HeldVote(const Entry& entry, std::uint32_t round, TimePoint now) const;
+  [[nodiscard]] VoteRecord AlreadyClaimedVote(const Entry& entry, std::uint32_t round, TimePoint now) const;
 
   [[nodiscard]] EntryFate OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
   [[nodiscard]] EntryFate OnHolderFound(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
--- a/src/idempotency/peers.cpp
+++ b/src/idempotency/peers.cpp
@@ -52,7 +52,7 @@
 
 void Peers::SetView(std::vector<Seen> view) {
   for (std::size_t rank = 0; rank < std::min(view.size(), peers_.size()); ++rank) {
-    const bool returned = !view[rank].gone && rank < view_.size() && view_[rank].gone;
+    const bool returned = !view[rank].unavailable && rank < view_.size() && view_[rank].unavailable;
     // What its former incarnation left unanswered says nothing of the new one.
     if (returned) peers_[rank].unanswered = 0;
   }
@@ -70,7 +70,7 @@
 bool Peers::IsAway(int rank, TimePoint now) const {
   const auto index = static_cast<std::size_t>(rank);
   const Peer& peer = peers_[index];
-  if (index < view_.size() && view_[index].gone) return true;
+  if (index < view_.size() && view_[index].unavailable) return true;
   return peer.unanswered >= kMinUnanswered && now - peer.unanswered_since >= limits_.peer_silent;
 }
 
--- a/src/idempotency/peers.h
+++ b/src/idempotency/peers.h
@@ -32,10 +32,10 @@
 
   void SetLimits(const Limits& limits) { limits_ = limits; }
 
-  // A peer in the membership view, by rank; an empty view says nothing. A peer that is gone by the view is
-  // away without being asked; of all others silence decides, as without a view.
+  // A peer in the membership view, by rank; an empty view says nothing. A peer that is unavailable by the
+  // view is away without being asked; of all others silence decides, as without a view.
   struct Seen {
-    bool gone = false;              // dead or leaving
+    bool unavailable = false;       // dead or leaving
     std::uint64_t incarnation = 0;  // in milliseconds; 0: never seen
     bool operator==(const Seen&) const = default;
   };
@@ -46,7 +46,7 @@
   // A datagram of this peer has arrived. False where an incarnation that was replaced recently sent it.
   [[nodiscard]] bool OnDatagram(int rank, std::uint64_t incarnation, TimePoint now);
 
-  // The peer is gone by the view, or several questions have gone unanswered for long enough.
+  // The peer is unavailable by the view, or several questions have gone unanswered for long enough.
   [[nodiscard]] bool IsAway(int rank, TimePoint now) const;
   // The last one heard of from the peer itself; 0: none.
   [[nodiscard]] std::uint64_t Incarnation(int rank) const;
--- a/src/idempotency/replica.cpp
+++ b/src/idempotency/replica.cpp
@@ -35,7 +35,7 @@
 void IdempotencyReplica::SetLimits(const Limits& limits) {
   const std::size_t memory = std::exchange(limits_, limits).memory;
   limits_.memory = memory;
-  store_.SetCustomerShare(limits_.customer_share);
+  store_.SetCustomerQuota(limits_.customer_share);
   peers_.SetLimits(limits_);
 }
 
@@ -100,7 +100,7 @@
     case KeyState::kAnswered:
     case KeyState::kUnknownOutcome:
       return runner_.Resume(entry, now);
-    case KeyState::kHeldByPeer:
+    case KeyState::kClaimedByPeer:
       if (!entry.assembly.active) claims_.QueryHolder(entry, now);
       return;
   }
@@ -113,13 +113,13 @@
     if (!group) return actions_.Reject(waiter, kNoUpstreamRetryAfter);
   }
   Entry* const entry = AddEntry(request, waiter);
-  if (entry == nullptr) return OnNoRoom(waiter);
+  if (entry == nullptr) return OnStoreFull(waiter);
   entry->fingerprint = request.fingerprint;
   entry->dedup_window = request.dedup_window;
   if (group) entry->group = group->id;
   entry->sent = now;
   entry->expires = now + limits_.keep;
-  if (claims_.StartClaim(*entry, now) == EntryFate::kKept) store_.Reschedule(*entry);
+  if (claims_.StartClaim(*entry, now) == EntryFate::kPresent) store_.Reschedule(*entry);
 }
 
 Entry* IdempotencyReplica::AddEntry(const KeyedRequest& request, const Waiter& waiter) {
@@ -129,7 +129,7 @@
   return nullptr;
 }
 
-void IdempotencyReplica::OnNoRoom(const Waiter& waiter) {
+void IdempotencyReplica::OnStoreFull(const Waiter& waiter) {
   if (limits_.when_full == WhenFull::kPass) {
     ++counts_.full_unprotected;
     actions_.StartUnprotected(waiter);
@@ -178,7 +178,7 @@
 void IdempotencyReplica::OnNeverRan(Entry& entry, Duration retry_after, TimePoint now) {
   if (!entry.running.resumed) {
     actions_.RejectAll(entry, retry_after);
-    return claims_.Abandon(entry, now);
+    return claims_.CancelClaim(entry, now);
   }
   LoseOutcome(entry, now);
   actions_.RejectAll(entry, retry_after);
@@ -209,13 +209,14 @@
   Entry* const entry = store_.FindByWaiter(id);
   if (entry == nullptr) return Finish(now);
   if (entry->IsRunning(id)) {
-    for (Waiter& waiter : entry->waiters) waiter.client_gone = waiter.client_gone || waiter.id == id;
+    for (Waiter& waiter : entry->waiters)
+      waiter.client_disconnected = waiter.client_disconnected || waiter.id == id;
     return Finish(now);
   }
   store_.RemoveWaiter(*entry, id);
   actions_.Add(ReleaseRequest{id});
   if (entry->waiters.empty() && entry->state == KeyState::kClaiming) {
-    claims_.Abandon(*entry, now);
+    claims_.CancelClaim(*entry, now);
     return Finish(now);
   }
   if (entry->waiters.empty()) fetcher_.Cancel(*entry);
@@ -263,7 +264,7 @@
   if (now >= entry.next_attempt) {
     if (entry.state == KeyState::kClaiming) {
       if (claims_.RetryClaim(entry, now) == EntryFate::kRemoved) return;
-    } else if (entry.state == KeyState::kHeldByPeer && !entry.waiters.empty()) {
+    } else if (entry.state == KeyState::kClaimedByPeer && !entry.waiters.empty()) {
       PollHolder(entry, now);
     }
   }
@@ -282,13 +283,13 @@
       actions_.Fail(waiter, entry.LossReason());
     }
   }
-  if (!entry.waiters.empty()) return EntryFate::kKept;
+  if (!entry.waiters.empty()) return EntryFate::kPresent;
   if (entry.state == KeyState::kClaiming) {
-    claims_.Abandon(entry, now);
+    claims_.CancelClaim(entry, now);
     return EntryFate::kRemoved;
   }
   fetcher_.Cancel(entry);
-  return EntryFate::kKept;
+  return EntryFate::kPresent;
 }
 
 void IdempotencyReplica::Expire(Entry& entry, TimePoint now) {
--- a/src/idempotency/replica.h
+++ b/src/idempotency/replica.h
@@ -106,7 +106,7 @@
   void BeginRepeat(Entry& entry, const KeyedRequest& request, const Waiter& waiter, TimePoint now);
   void JoinWaiters(Entry& entry, TimePoint now);
   [[nodiscard]] Entry* AddEntry(const KeyedRequest& request, const Waiter& waiter);
-  void OnNoRoom(const Waiter& waiter);
+  void OnStoreFull(const Waiter& waiter);
 
   void OnServed(Entry& entry, std::string value, TimePoint now);
   void OnNeverRan(Entry& entry, Duration retry_after, TimePoint now);
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-IdempotencyStore::IdempotencyStore(std::size_t memory, double customer_share)
+IdempotencyStore::IdempotencyStore(std::size_t memory, double customer_quota)
     : memory_limit_(memory),
-      customer_share_(customer_share),
+      customer_quota_(customer_quota),
       max_entries_(memory / (kEntryBytes + kBucketBytes)),
       entries_(&memory_),
       waiters_(&memory_),
@@ -65,7 +65,7 @@
   if (found->second == 0) customer_bytes_.erase(found);
 }
 
-bool IdempotencyStore::MakeRoom(std::size_t bytes) {
+bool IdempotencyStore::EvictUntilFits(std::size_t bytes) {
   while (memory_.used() + bytes > memory_limit_) {
     if (answered_.empty()) return false;
     DropAnswer(*Find(answered_.begin()->key));
@@ -73,9 +73,9 @@
   return true;
 }
 
-bool IdempotencyStore::MakeRoomWithinShare(std::uint32_t customer, std::size_t bytes) {
-  const auto share = static_cast<std::size_t>(customer_share_ * static_cast<double>(memory_limit_));
-  while (BytesOf(customer) + bytes > share) {
+bool IdempotencyStore::EvictUntilWithinQuota(std::uint32_t customer, std::size_t bytes) {
+  const auto quota = static_cast<std::size_t>(customer_quota_ * static_cast<double>(memory_limit_));
+  while (BytesOf(customer) + bytes > quota) {
     const auto oldest = answered_by_customer_.lower_bound({customer, TimePoint::min(), KeyId{}});
     if (oldest == answered_by_customer_.end() || oldest->customer != customer) return false;
     DropAnswer(*Find(oldest->key));
@@ -87,7 +87,7 @@
 
 Entry* IdempotencyStore::Add(const KeyId& key, std::uint32_t customer) {
   if (entries_.size() >= max_entries_) return nullptr;
-  if (!MakeRoomWithinShare(customer, kEntryBytes) || !MakeRoom(kEntryBytes)) return nullptr;
+  if (!EvictUntilWithinQuota(customer, kEntryBytes) || !EvictUntilFits(kEntryBytes)) return nullptr;
   Entry& entry = entries_.try_emplace(key, &memory_).first->second;
   entry.key = key;
   entry.customer = customer;
@@ -110,12 +110,12 @@
   if (entry.waiters.size() == capacity) {
     const std::size_t larger = std::max<std::size_t>(1, capacity * 2);
     const std::size_t added = larger - capacity;
-    if (!MakeRoomWithinShare(entry.customer, added * kWaiterBytes)) return false;
+    if (!EvictUntilWithinQuota(entry.customer, added * kWaiterBytes)) return false;
     // The vector's old block and its new one exist together while it grows.
-    if (!MakeRoom(larger * sizeof(Waiter) + added * kWaiterIndexBytes + kGrowthBytes)) return false;
+    if (!EvictUntilFits(larger * sizeof(Waiter) + added * kWaiterIndexBytes + kGrowthBytes)) return false;
     entry.waiters.reserve(larger);
     Charge(entry, added * kWaiterBytes);
-  } else if (!MakeRoom(kWaiterIndexBytes)) {
+  } else if (!EvictUntilFits(kWaiterIndexBytes)) {
     return false;
   }
   entry.waiters.push_back(waiter);
@@ -141,7 +141,7 @@
 bool IdempotencyStore::ReserveAnswer(Entry& entry, std::size_t size) {
   if (entry.answer.capacity() >= size) return true;
   ReleaseAnswer(entry);
-  if (!MakeRoomWithinShare(entry.customer, size + kGrowthBytes) || !MakeRoom(size + kGrowthBytes)) {
+  if (!EvictUntilWithinQuota(entry.customer, size + kGrowthBytes) || !EvictUntilFits(size + kGrowthBytes)) {
     return false;
   }
   entry.answer.reserve(size);
--- a/src/idempotency/store.h
+++ b/src/idempotency/store.h
@@ -2,7 +2,7 @@
 // memory from one counted resource, and `used()` never exceeds the limit.
 //
 // Only answers are evicted before their time, the oldest first: the key stays, and a repeat of it is still
-// recognised. A customer at its share evicts its own answers, else any may go.
+// recognised. A customer at its quota evicts its own answers, else any may go.
 #ifndef POSTSPREAD_IDEMPOTENCY_STORE_H_
 #define POSTSPREAD_IDEMPOTENCY_STORE_H_
 
@@ -22,12 +22,12 @@
 
 class IdempotencyStore {
  public:
-  // Takes `memory` bytes at most, and at most the fraction `customer_share` of them for one customer's keys.
-  IdempotencyStore(std::size_t memory, double customer_share);
+  // Takes `memory` bytes at most, and at most the fraction `customer_quota` of them for one customer's keys.
+  IdempotencyStore(std::size_t memory, double customer_quota);
   IdempotencyStore(const IdempotencyStore&) = delete;
   IdempotencyStore& operator=(const IdempotencyStore&) = delete;
 
-  void SetCustomerShare(double customer_share) { customer_share_ = customer_share; }
+  void SetCustomerQuota(double customer_quota) { customer_quota_ = customer_quota; }
 
   // Null where there is none.
   Entry* Find(const KeyId& key);
@@ -74,8 +74,8 @@
     auto operator<=>(const CustomerTimedKey&) const = default;
   };
 
-  bool MakeRoom(std::size_t bytes);
-  bool MakeRoomWithinShare(std::uint32_t customer, std::size_t bytes);
+  bool EvictUntilFits(std::size_t bytes);
+  bool EvictUntilWithinQuota(std::uint32_t customer, std::size_t bytes);
   [[nodiscard]] std::size_t BytesOf(std::uint32_t customer) const;
   void Charge(const Entry& entry, std::size_t bytes);
   void Refund(const Entry& entry, std::size_t bytes);
@@ -83,7 +83,7 @@
 
   CountedMemory memory_;
   std::size_t memory_limit_;
-  double customer_share_;
+  double customer_quota_;
   std::uint64_t answers_evicted_ = 0;
   std::size_t max_entries_;
   std::pmr::unordered_map<KeyId, Entry, KeyHash> entries_;
--- a/src/idempotency/wire.cpp
+++ b/src/idempotency/wire.cpp
@@ -95,13 +95,13 @@
                record.window_ms);
   } else if constexpr (std::is_same_v<T, VoteRecord>) {
     codec.Code(record.key, record.round, record.kind, record.reference_round);
-    if (record.kind != VoteKind::kHeld) return;
+    if (record.kind != VoteKind::kAlreadyClaimed) return;
     codec.Code(record.holder, record.holder_incarnation, record.phase, record.has_group, record.group,
                record.age_ms);
   } else if constexpr (std::is_same_v<T, OutcomeRecord>) {
     codec.Code(record.key, record.round, record.withdrawn, record.phase, record.age_ms);
   } else if constexpr (std::is_same_v<T, FetchRecord>) {
-    codec.Code(record.key, record.first, record.wanted);
+    codec.Code(record.key, record.first, record.requested);
   } else {
     static_assert(std::is_same_v<T, FragmentRecord>);
     codec.Code(record.key, record.index, record.total, record.bytes);
--- a/src/idempotency/wire.h
+++ b/src/idempotency/wire.h
@@ -37,7 +37,7 @@
 enum class VoteKind : std::uint8_t {
   kGranted,              // the claim is recorded; nothing was known of the key
   kGrantedRecovering,    // the same by a gateway that started recently and may have forgotten
-  kHeld,                 // by the holder named
+  kAlreadyClaimed,       // by the holder named
   kFingerprintMismatch,  // the key belongs to another request
   kNoCapacity,           // no room to record the claim
 };
@@ -46,10 +46,10 @@
   KeyId key;
   std::uint32_t round = 0;  // of the claim
   VoteKind kind = VoteKind::kGranted;
-  // With kHeld the round of the holder's claim, as recorded; else the voter's next round: whatever anybody
-  // remembers of the voter's claims before it is stale.
+  // With kAlreadyClaimed the round of the holder's claim, as recorded; else the voter's next round: whatever
+  // anybody remembers of the voter's claims before it is stale.
   std::uint32_t reference_round = 0;
-  // With kHeld only:
+  // With kAlreadyClaimed only:
   std::uint16_t holder = 0;
   std::uint64_t holder_incarnation = 0;
   Phase phase = Phase::kRunning;
@@ -73,8 +73,8 @@
 // Requests fragments of an answer.
 struct FetchRecord {
   KeyId key;
-  std::uint16_t first = 0;  // bit i of `wanted` stands for the fragment first + i
-  std::uint32_t wanted = 0;
+  std::uint16_t first = 0;  // bit i of `requested` stands for the fragment first + i
+  std::uint32_t requested = 0;
   bool operator==(const FetchRecord&) const = default;
 };
 // A fragment of an answer.
--- a/tests/idempotency/cluster_test.cpp
+++ b/tests/idempotency/cluster_test.cpp
@@ -33,7 +33,8 @@
 }
 
 TEST_CASE(
-    "repeats through the last of a hundred gateways are executed once, and a holder gone by the view is not "
+    "repeats through the last of a hundred gateways are executed once, and a holder unavailable by the view "
+    "is not "
     "queried") {
   Cluster cluster(100, FastPeers(), 3);
   std::vector<WaiterId> all;
@@ -51,7 +52,7 @@
   cluster.Run(milliseconds(200));
   cluster.Kill(95);
   std::vector<Peers::Seen> view(100);
-  view[95].gone = true;
+  view[95].unavailable = true;
   for (int i = 0; i < 100; ++i) {
     if (cluster.alive(i)) cluster.replica(i).SetView(view);
   }
--- a/tests/idempotency/model.cpp
+++ b/tests/idempotency/model.cpp
@@ -72,7 +72,7 @@
                      [waiter](const ModelWaiter& candidate) { return candidate.id == waiter; });
     if (found == key.waiters.end()) continue;
     if (IsRunning(key, waiter)) {
-      found->client_gone = true;
+      found->client_disconnected = true;
     } else {
       key.waiters.erase(found);
       effects.insert(Effect("release", waiter));
@@ -104,7 +104,7 @@
 
 void ReplicaModel::Answer(const ModelWaiter& waiter, const char* what, const std::string& detail,
                           Effects& effects) {
-  effects.insert(waiter.client_gone ? Effect("release", waiter.id) : Effect(what, waiter.id, detail));
+  effects.insert(waiter.client_disconnected ? Effect("release", waiter.id) : Effect(what, waiter.id, detail));
 }
 
 void ReplicaModel::AnswerAll(Key& key, const char* what, const std::string& detail, Effects& effects) {
--- a/tests/idempotency/model.h
+++ b/tests/idempotency/model.h
@@ -1,5 +1,5 @@
 // A plain model of one replica without peers: the state table of idempotency/replica.h in its simplest form.
-// What a step makes happen is noted in words, so that model and replica can be compared.
+// What a step makes happen is recorded in words, so that model and replica can be compared.
 #ifndef POSTSPREAD_TESTS_IDEMPOTENCY_MODEL_H_
 #define POSTSPREAD_TESTS_IDEMPOTENCY_MODEL_H_
 
@@ -29,7 +29,7 @@
   struct ModelWaiter {
     WaiterId id = 0;
     TimePoint deadline{0};
-    bool client_gone = false;
+    bool client_disconnected = false;
   };
   enum class State { kRunning, kAnswered, kUnknownOutcome };
   struct Key {
--- a/tests/idempotency/model_test.cpp
+++ b/tests/idempotency/model_test.cpp
@@ -96,13 +96,13 @@
         .dedup_window = ReplicaModel::kDedupWindow,
         .sticky = true,
         .work = {}};
-    Note(replica_.Begin(request, now_));
+    Collect(replica_.Begin(request, now_));
     model_.OnRequest({step.key, step.body, request.waiter, request.deadline}, now_, expected_);
   }
 
   void Disconnect(const Step& step) {
     const WaiterId waiter = next_waiter_ > 8 ? next_waiter_ - 1 - static_cast<WaiterId>(step.amount % 8) : 1;
-    Note(replica_.OnClientDisconnect(waiter, now_));
+    Collect(replica_.OnClientDisconnect(waiter, now_));
     model_.OnDisconnect(waiter, expected_);
   }
 
@@ -110,7 +110,7 @@
     const TimePoint until = now_ + span;
     while (replica_.NextTick() && *replica_.NextTick() <= until) {
       now_ = std::max(now_, *replica_.NextTick());
-      Note(replica_.Tick(now_));
+      Collect(replica_.Tick(now_));
     }
     now_ = until;
     model_.AdvanceTo(now_, expected_);
@@ -124,14 +124,14 @@
     const WaiterId waiter = model_.RunningWaiter(name);
     RC_ASSERT(replica_.Runs(waiter));
     const WorkResult result = ToResult(step.kind);
-    Note(replica_.OnWorkFinished(waiter, result, value, Duration(1), now_));
+    Collect(replica_.OnWorkFinished(waiter, result, value, Duration(1), now_));
     model_.OnWorkFinished(name, result, value, now_, expected_);
     // A key past its expiry, or a waiter past its deadline, goes at the next tick.
-    if (replica_.NextTick() && *replica_.NextTick() <= now_) Note(replica_.Tick(now_));
+    if (replica_.NextTick() && *replica_.NextTick() <= now_) Collect(replica_.Tick(now_));
     model_.AdvanceTo(now_, expected_);
   }
 
-  void Note(Actions actions) {
+  void Collect(Actions actions) {
     for (const Action& action : actions) actual_.insert(ToEffect(action));
   }
 
--- a/tests/idempotency/wire_test.cpp
+++ b/tests/idempotency/wire_test.cpp
@@ -11,7 +11,8 @@
   const KeyId key{0x0123456789abcdefULL, 0xfedcba9876543210ULL};
   return {ClaimRecord{key, 5, 6, 7, 1, -8, 15'000},
           VoteRecord{.key = key, .round = 9, .kind = VoteKind::kGrantedRecovering, .reference_round = 3},
-          VoteRecord{key, 9, VoteKind::kHeld, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown, 1, 44, 99},
+          VoteRecord{key, 9, VoteKind::kAlreadyClaimed, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown, 1,
+                     44, 99},
           OutcomeRecord{key, 10, 1, Phase::kAnsweredNoValue, 11},
           FetchRecord{key, 32, 0xffffffff},
           FragmentRecord{key, 319, 66'560, std::string(kFragmentBytes, 'x')}};
