--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -11,10 +11,10 @@
 
 using namespace json_read;
 
-planner::UpstreamState ToState(const std::string& status) {
-  if (status == "Ready") return planner::UpstreamState::kReady;
-  if (status == "Gone") return planner::UpstreamState::kGone;
-  return planner::UpstreamState::kDraining;  // also what is not known: it is not said to be ready
+UpstreamState ToState(const std::string& status) {
+  if (status == "Ready") return UpstreamState::kReady;
+  if (status == "Gone") return UpstreamState::kRemoved;
+  return UpstreamState::kDraining;  // also what is not known: it is not said to be ready
 }
 
 Endpoint DecodeEntry(const json& from) {
@@ -29,7 +29,7 @@
   const std::string address = TextOr(from, "address");
   if (const std::optional<Address> parsed = Address::Parse(address)) {
     out.address = *parsed;
-  } else if (out.upstream.state != planner::UpstreamState::kGone) {
+  } else if (out.upstream.state != UpstreamState::kRemoved) {
     Bad("member \"address\" is not ADDRESS:PORT: \"" + address + "\"");
   }
   return out;
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "config/address.h"
-#include "planner/types.h"
+#include "model/upstream.h"
 
 namespace postspread::config {
 
 struct Endpoint {
-  planner::Upstream upstream;
+  Upstream upstream;
   Address address;
 };
 
--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -112,11 +112,11 @@
                        bodies_, metrics_, *this),
       datagrams_(config.settings.peer_messages_per_second) {
   if (config.counter) DialCounter(*config.counter);
-  OnEndpointList(config.known, planner::EndpointUpdateKind::kRemembered);
+  OnEndpointList(config.known, EndpointUpdateKind::kPersisted);
   discovery_.emplace(base, config.discovery, config.settings.dial_timeout, config.settings.group_size,
                      config.seed, [this](config::EndpointList endpoint_list) {
-                       const auto scope = endpoint_list.full ? planner::EndpointUpdateKind::kSnapshot
-                                                             : planner::EndpointUpdateKind::kChanges;
+                       const auto scope = endpoint_list.full ? EndpointUpdateKind::kSnapshot
+                                                             : EndpointUpdateKind::kChanges;
                        OnEndpointList(std::move(endpoint_list), scope);
                      });
   settle_.Arm(kSettle);
@@ -356,7 +356,7 @@
 
 void GatewayServer::OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) {
   RecordAttemptEnd(report);
-  metrics_.odd_use += report.use.odd;
+  metrics_.odd_use += report.use.unreadable;
   metrics_.over_quota_answers += config_.settings.meter_period.count() > 0 && report.use.percent > 100;
   if (report.result == planner::AttemptResult::kServed) {
     if (planner_.NeedsAnswer(report.request)) {
@@ -397,14 +397,14 @@
 void GatewayServer::OnCounterReply(planner::CounterReport report) { Report(std::move(report)); }
 
 void GatewayServer::OnEndpointList(const config::EndpointList& endpoint_list,
-                                   planner::EndpointUpdateKind scope) {
+                                   EndpointUpdateKind scope) {
   planner::EndpointListReport report{.scope = scope, .index = endpoint_list.index, .upstreams = {}};
   if (endpoint_list.full) upstreams_.clear();
   for (const config::Endpoint& entry : endpoint_list.entries) {
-    if (entry.upstream.state == planner::UpstreamState::kGone) {
+    if (entry.upstream.state == UpstreamState::kRemoved) {
       upstreams_.erase(entry.upstream.name);  // names are never used again: kept, they would only grow
     } else {
-      upstreams_[entry.upstream.name] = entry.upstream.state == planner::UpstreamState::kReady;
+      upstreams_[entry.upstream.name] = entry.upstream.state == UpstreamState::kReady;
     }
     report.upstreams.push_back(entry.upstream);
   }
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -98,7 +98,7 @@
   bool Drain() override;
   bool Activate() override;
 
-  void OnEndpointList(const config::EndpointList& endpoint_list, planner::EndpointUpdateKind scope);
+  void OnEndpointList(const config::EndpointList& endpoint_list, EndpointUpdateKind scope);
   void Report(planner::ReportValue report);
   void Run(planner::Actions actions);
   void RunQueued();
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -42,7 +42,7 @@
 struct UpstreamPool::PooledUpstream {
   std::string name;
   config::Address address;
-  planner::UpstreamState state = planner::UpstreamState::kReady;
+  UpstreamState state = UpstreamState::kReady;
   std::chrono::milliseconds started{0};
   int incarnation = 0;  // changes with its start and its place: connections to a former one lead nowhere
   std::vector<std::unique_ptr<Connection>> connections;
@@ -87,7 +87,7 @@
   }
 
   // Ends what is under way by closing the connection. Nothing of it may be touched afterwards.
-  void Close(AttemptResult result, const planner::Load& load = {}) {
+  void Close(AttemptResult result, const UpstreamLoad& load = {}) {
     const std::unique_ptr<Connection> self = pool_.Remove(*this);
     if (busy_ && !told_) return Report(result, {}, load);
     if (busy_) pool_.attempts_.erase(key_);
@@ -120,7 +120,7 @@
   // What was so when the attempt was decided, for the moment in which its first byte leaves. A probe has no
   // more to keep than the list.
   [[nodiscard]] std::optional<safety::Rule> Forbidden(Clock::time_point now) const {
-    safety::AttemptFacts facts{.upstream_ready = upstream_.state == planner::UpstreamState::kReady,
+    safety::AttemptFacts facts{.upstream_ready = upstream_.state == UpstreamState::kReady,
                                .connection_current = current(),
                                .way = way_there_,
                                .begin_by = begin_by_,
@@ -332,7 +332,7 @@
     busy_ = false;
     idle_since_ = Clock::now();
     if (ReadSize(connection_.get()) > 0) pool_.NoteUnasked();
-    if (ReadSize(connection_.get()) > 0 || upstream_.state != planner::UpstreamState::kReady || !current()) {
+    if (ReadSize(connection_.get()) > 0 || upstream_.state != UpstreamState::kReady || !current()) {
       Close(AttemptResult::kReset);
     }
   }
@@ -346,8 +346,8 @@
   void Take(const resp::Reply& reply) {
     using Kind = resp::Reply::Kind;
     AttemptResult result = AttemptResult::kError;
-    planner::Load load;
-    planner::Use use;
+    UpstreamLoad load;
+    ReportedUsage use;
     std::string_view value;
     if (reply.kind == Kind::kError) {
       const std::string_view update = reply.text.substr(0, reply.text.find(' '));
@@ -375,8 +375,8 @@
     Free(reply.size);
   }
 
-  void Report(AttemptResult result, std::string_view value, const planner::Load& load,
-              const planner::Use& use = {}) {
+  void Report(AttemptResult result, std::string_view value, const UpstreamLoad& load,
+              const ReportedUsage& use = {}) {
     told_ = true;
     const auto elapsed = std::chrono::duration_cast<microseconds>(Clock::now() - begun_);
     if (is_probe_) {
@@ -437,7 +437,7 @@
 void UpstreamPool::Apply(const config::EndpointList& endpoint_list) {
   std::vector<PooledUpstream*> renewed, not_ready;
   if (endpoint_list.full) {
-    for (auto& [name, upstream] : upstreams_) upstream->state = planner::UpstreamState::kGone;
+    for (auto& [name, upstream] : upstreams_) upstream->state = UpstreamState::kRemoved;
   }
   for (const config::Endpoint& entry : endpoint_list.entries) {
     std::unique_ptr<PooledUpstream>& upstream = upstreams_[entry.upstream.name];
@@ -457,7 +457,7 @@
     upstream->state = entry.upstream.state;
   }
   for (auto& [name, upstream] : upstreams_) {
-    if (upstream->state != planner::UpstreamState::kReady) not_ready.push_back(upstream.get());
+    if (upstream->state != UpstreamState::kReady) not_ready.push_back(upstream.get());
   }
   for (PooledUpstream* upstream : not_ready) CloseIdle(*upstream, Clock::time_point::max());
   for (const std::vector<PooledUpstream*>& upstreams : {renewed, not_ready}) {
@@ -492,8 +492,8 @@
 void UpstreamPool::Start(PooledUpstream& upstream, const AttemptKey* key, const resp::EncodedRequest& message,
                          microseconds timeout, microseconds begin_within) {
   const auto begun = Clock::now();
-  Connection* connection = upstream.state == planner::UpstreamState::kReady ? FindIdle(upstream) : nullptr;
-  if (connection == nullptr && upstream.state == planner::UpstreamState::kReady) connection = Open(upstream);
+  Connection* connection = upstream.state == UpstreamState::kReady ? FindIdle(upstream) : nullptr;
+  if (connection == nullptr && upstream.state == UpstreamState::kReady) connection = Open(upstream);
   if (connection != nullptr) {
     if (key != nullptr) attempts_[*key] = connection;
     return connection->Begin(key, message, timeout, begin_within, begun);
@@ -591,7 +591,7 @@
   for (auto it = upstreams_.begin(); it != upstreams_.end();) {
     PooledUpstream& upstream = *it->second;
     CloseIdle(upstream, unused_since);
-    const bool over = upstream.state == planner::UpstreamState::kGone && upstream.connections.empty();
+    const bool over = upstream.state == UpstreamState::kRemoved && upstream.connections.empty();
     it = over ? upstreams_.erase(it) : std::next(it);
   }
 }
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -68,13 +68,13 @@
       return ServerState::kUp;
     case UpstreamState::kDraining:
       return ServerState::kDraining;
-    case UpstreamState::kGone:
+    case UpstreamState::kRemoved:
       return ServerState::kGone;
   }
   return ServerState::kGone;
 }
 
-LoadReport ToLoad(const Load& load) {
+LoadReport ToLoad(const UpstreamLoad& load) {
   return LoadReport{.outstanding = load.outstanding,
                     .queue = load.queue,
                     .utilization = load.utilization,
@@ -446,7 +446,7 @@
 void Planner::ApplyEndpointList(const EndpointListReport& report) {
   if (report.scope != EndpointUpdateKind::kChanges) upstreams_.clear();
   for (const Upstream& upstream : report.upstreams) {
-    if (upstream.state == UpstreamState::kGone) {
+    if (upstream.state == UpstreamState::kRemoved) {
       upstreams_.erase(upstream.name);
     } else {
       upstreams_[upstream.name] = upstream;
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -22,11 +22,11 @@
       start.told = upstream.started;
       start.estimate = Estimate(upstream.started, now);
     }
-    start.listed = upstream.state != UpstreamState::kGone;
+    start.listed = upstream.state != UpstreamState::kRemoved;
     upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
   // What the configuration remembers of earlier lists says nothing of when it was true.
-  if (report.scope != EndpointUpdateKind::kRemembered) last_list_ = now;
+  if (report.scope != EndpointUpdateKind::kPersisted) last_list_ = now;
   ForgetUnlisted();
 }
 
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -10,41 +10,14 @@
 #include <variant>
 #include <vector>
 
+#include "model/load_report.h"
 #include "model/request.h"
+#include "model/upstream.h"
 
 namespace postspread::planner {
 
 using Clock = std::chrono::steady_clock;
 
-enum class UpstreamState { kReady, kDraining, kGone };
-
-struct Upstream {
-  std::string name;
-  std::string zone;
-  std::string kind;
-  std::int64_t cell = 0;
-  UpstreamState state = UpstreamState::kReady;
-  double weight = 1.0;
-  std::chrono::milliseconds started{0};  // since the Unix epoch; 0: long ago
-};
-
-// A load report; what it does not hold is below 0.
-struct Load {
-  double outstanding = -1.0;
-  double queue = -1.0;
-  double utilization = -1.0;
-  double latency_ms = -1.0;
-  double per_second = -1.0;
-  double errors_per_second = -1.0;
-};
-
-// What an answer tells of its customer and of the request itself, where the settings have these figures.
-struct Use {
-  double percent = -1.0;  // of its rate, that the customer used over all gateways of late; below 0: not told
-  double units = 0.0;     // true units of the request; 0: not told
-  bool odd = false;       // something under these names could not be read, and was skipped
-};
-
 // ---- Steps: to be carried out at once, in order.
 
 // Begins a delivery attempt. A request's attempts are numbered 0, 1, ... in the order of these steps.
@@ -152,8 +125,8 @@
   std::string upstream;
   AttemptResult result = AttemptResult::kServed;
   std::chrono::microseconds elapsed{0};
-  Load load{};
-  Use use{};
+  UpstreamLoad load{};
+  ReportedUsage use{};
   std::string value{};  // with kServed, where Planner::Keeps the request's answer
 };
 
@@ -167,8 +140,6 @@
   std::chrono::microseconds elapsed{0};
 };
 
-enum class EndpointUpdateKind { kRemembered, kSnapshot, kChanges };
-
 struct EndpointListReport {
   EndpointUpdateKind scope = EndpointUpdateKind::kSnapshot;
   std::uint64_t index = 0;
@@ -179,7 +150,7 @@
   std::string upstream;
   AttemptResult result = AttemptResult::kServed;
   std::chrono::microseconds elapsed{0};
-  Load load{};
+  UpstreamLoad load{};
 };
 
 struct ClientDisconnected {
--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -143,8 +143,8 @@
   return nullptr;
 }
 
-planner::Load DecodeLoad(std::string_view text) {
-  planner::Load load;
+UpstreamLoad DecodeLoad(std::string_view text) {
+  UpstreamLoad load;
   const std::pair<std::string_view, double*> fields[] = {
       {"inflight", &load.outstanding},  {"outstanding", &load.outstanding},
       {"queue", &load.queue},           {"backlog", &load.queue},
@@ -165,8 +165,8 @@
   return load;
 }
 
-planner::Use DecodeUse(std::string_view text) {
-  planner::Use use;
+ReportedUsage DecodeUse(std::string_view text) {
+  ReportedUsage use;
   while (!text.empty()) {
     const std::string_view item = Next(text, ',');
     const std::size_t equals = item.find('=');
@@ -175,7 +175,7 @@
     if (name != "used" && name != "cost") continue;
     double value = 0;
     if (!ToNumber(item.substr(equals + 1), value) || !std::isfinite(value) || value < 0) {
-      use.odd = true;
+      use.unreadable = true;
     } else {
       (name == "used" ? use.percent : use.units) = value;
     }
@@ -183,14 +183,14 @@
   return use;
 }
 
-void DecodeErrorTail(std::string_view line, planner::Use& use, planner::Load& load) {
+void DecodeErrorTail(std::string_view line, ReportedUsage& use, UpstreamLoad& load) {
   Next(line, ' ');
   while (!line.empty()) {
     const std::string_view word = Next(line, ' ');
-    const planner::Use told = DecodeUse(word);
+    const ReportedUsage told = DecodeUse(word);
     if (told.percent >= 0) use.percent = told.percent;
     if (told.units > 0) use.units = told.units;
-    use.odd |= told.odd;
+    use.unreadable |= told.unreadable;
     if (line.empty()) load = DecodeLoad(word);  // it stands last
   }
 }
--- a/src/resp/request.h
+++ b/src/resp/request.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "model/load_report.h"
 #include "model/request.h"
-#include "planner/types.h"
 #include "resp/frame.h"
 
 namespace postspread::resp {
@@ -59,13 +59,13 @@
 const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, DecodedRequest& out);
 
 // The load report of an answer, or of the end of an error line. Fields that are not known are skipped.
-planner::Load DecodeLoad(std::string_view text);
+UpstreamLoad DecodeLoad(std::string_view text);
 
 // The figures on use of an answer, such as `used=37,cost=4`. Other names are skipped.
-planner::Use DecodeUse(std::string_view text);
+ReportedUsage DecodeUse(std::string_view text);
 
 // What stands in an error line behind its first word: the figures on use, the load report, both or neither.
-void DecodeErrorTail(std::string_view line, planner::Use& use, planner::Load& load);
+void DecodeErrorTail(std::string_view line, ReportedUsage& use, UpstreamLoad& load);
 
 }  // namespace postspread::resp
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -181,9 +181,9 @@
 TEST_CASE("a next hop of unknown status gets nothing new") {
   json list = Sound()["known"];
   list["endpoints"][0]["status"] = "Warming";
-  CHECK(DecodeEndpointList(list).entries[0].upstream.state == planner::UpstreamState::kDraining);
+  CHECK(DecodeEndpointList(list).entries[0].upstream.state == UpstreamState::kDraining);
   list["endpoints"][0] = {{"name", "s-1"}, {"status", "Gone"}};  // one that is gone needs no address
-  CHECK(DecodeEndpointList(list).entries[0].upstream.state == planner::UpstreamState::kGone);
+  CHECK(DecodeEndpointList(list).entries[0].upstream.state == UpstreamState::kRemoved);
   list["snapshot"] = false;
   CHECK_FALSE(DecodeEndpointList(list).full);
 }
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -46,7 +46,7 @@
 
 TEST_CASE("the first list is believed, but for starts in the future") {
   StartTimes starts;
-  CHECK(Told(starts, EndpointUpdateKind::kRemembered, milliseconds(0), kNow) == microseconds(0));
+  CHECK(Told(starts, EndpointUpdateKind::kPersisted, milliseconds(0), kNow) == microseconds(0));
   CHECK(Told(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow) == kNow - seconds(30));
   StartTimes others;
   CHECK(Told(others, EndpointUpdateKind::kSnapshot, kNow + hours(1), kNow) == kNow);
@@ -55,7 +55,7 @@
 TEST_CASE("a next hop that is gone and listed again with the same start has not started again") {
   StartTimes starts;
   const microseconds first = Told(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow);
-  EndpointListReport gone = List(EndpointUpdateKind::kChanges, kNow - seconds(30), UpstreamState::kGone);
+  EndpointListReport gone = List(EndpointUpdateKind::kChanges, kNow - seconds(30), UpstreamState::kRemoved);
   starts.Apply(gone, kNow + seconds(1));
   CHECK(Told(starts, EndpointUpdateKind::kChanges, kNow - seconds(30), kNow + seconds(60)) == first);
   // And with another start it has, even where that looks older.
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -203,7 +203,7 @@
 }
 
 TEST_CASE("load reports are read by either set of names, and odd ones skipped") {
-  const planner::Load load = DecodeLoad("inflight=7,queue=2,utilization=0.61,recent_ms=x,eps=-1,new=3,,=");
+  const UpstreamLoad load = DecodeLoad("inflight=7,queue=2,utilization=0.61,recent_ms=x,eps=-1,new=3,,=");
   CHECK(load.outstanding == 7);
   CHECK(load.queue == 2);
   CHECK(load.utilization == Approx(0.61));
@@ -212,19 +212,19 @@
 }
 
 TEST_CASE("figures on use are read from answers and error lines, and odd ones skipped") {
-  const planner::Use use = DecodeUse("used=37,cost=4,new=1");
+  const ReportedUsage use = DecodeUse("used=37,cost=4,new=1");
   CHECK(use.percent == 37);
   CHECK(use.units == 4);
-  CHECK_FALSE(use.odd);
-  const planner::Use odd = DecodeUse("used=-1,cost=nan,,cost");
-  CHECK((odd.percent < 0 && odd.units == 0 && odd.odd));
-  const planner::Use below = DecodeUse("used=5,cost=-4");
-  CHECK((below.percent == 5 && below.units == 0 && below.odd));
-  planner::Use told;
-  planner::Load load;
+  CHECK_FALSE(use.unreadable);
+  const ReportedUsage odd = DecodeUse("used=-1,cost=nan,,cost");
+  CHECK((odd.percent < 0 && odd.units == 0 && odd.unreadable));
+  const ReportedUsage below = DecodeUse("used=5,cost=-4");
+  CHECK((below.percent == 5 && below.units == 0 && below.unreadable));
+  ReportedUsage told;
+  UpstreamLoad load;
   DecodeErrorTail("ERR failed used=140,cost=2 util=0.5", told, load);
   CHECK((told.percent == 140 && told.units == 2 && load.utilization == 0.5));
-  planner::Use busy;
+  ReportedUsage busy;
   DecodeErrorTail("BUSY used=0", busy, load);
   CHECK(busy.percent == 0);
 }
