--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -52,11 +52,11 @@
   return PeerLink::PeerIdOf(*reinterpret_cast<const sockaddr_in*>(address->get()));
 }
 
-planner::Planner::Extras ToExtras(const config::Config& config, const operator_file::OperatorFile& operators,
-                                  membership::DisabledDefense disabled) {
+planner::PlannerOptions ToExtras(const config::Config& config, const operator_file::OperatorFile& operators,
+                                 membership::DisabledDefense disabled) {
   const std::optional<config::Peers> peers = PeersOf(config, operators);
-  planner::Planner::Extras out;
-  out.keys = operators.idempotency;
+  planner::PlannerOptions out;
+  out.idempotency = operators.idempotency;
   out.usage = operators.usage;
   out.has_peers = peers.has_value();
   out.membership = operators.membership;
@@ -115,8 +115,8 @@
   OnEndpointList(config.known, EndpointUpdateKind::kPersisted);
   discovery_.emplace(base, config.discovery, config.settings.dial_timeout, config.settings.group_size,
                      config.seed, [this](config::EndpointList endpoint_list) {
-                       const auto scope = endpoint_list.full ? EndpointUpdateKind::kSnapshot
-                                                             : EndpointUpdateKind::kChanges;
+                       const auto scope =
+                           endpoint_list.full ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kChanges;
                        OnEndpointList(std::move(endpoint_list), scope);
                      });
   settle_.Arm(kSettle);
@@ -358,7 +358,7 @@
   RecordAttemptEnd(report);
   metrics_.odd_use += report.use.unreadable;
   metrics_.over_quota_answers += config_.settings.meter_period.count() > 0 && report.use.percent > 100;
-  if (report.result == planner::AttemptResult::kServed) {
+  if (report.result == planner::AttemptResult::kSucceeded) {
     if (planner_.NeedsAnswer(report.request)) {
       planner::AttemptReport kept = report;
       kept.value = value;
@@ -380,7 +380,7 @@
   if (found == in_flight_.end()) return;
   const auto number = static_cast<std::size_t>(report.attempt);
   if (number >= found->second.attempts.size()) return;
-  const bool never_ran = report.result == Result::kTurnedAway || report.result == Result::kCouldNotConnect;
+  const bool never_ran = report.result == Result::kRejected || report.result == Result::kConnectFailed;
   found->second.attempts[number] = {.out = false, .may_have_run = !never_ran};
 }
 
@@ -392,13 +392,12 @@
   return writer != nullptr && writer->IsClientConnected();
 }
 
-void GatewayServer::OnHealthCheckFinished(const planner::ProbeReport& report) { Report(report); }
+void GatewayServer::OnHealthCheckFinished(const planner::HealthCheckReport& report) { Report(report); }
 
 void GatewayServer::OnCounterReply(planner::CounterReport report) { Report(std::move(report)); }
 
-void GatewayServer::OnEndpointList(const config::EndpointList& endpoint_list,
-                                   EndpointUpdateKind scope) {
-  planner::EndpointListReport report{.scope = scope, .index = endpoint_list.index, .upstreams = {}};
+void GatewayServer::OnEndpointList(const config::EndpointList& endpoint_list, EndpointUpdateKind scope) {
+  planner::EndpointListReport report{.kind = scope, .index = endpoint_list.index, .upstreams = {}};
   if (endpoint_list.full) upstreams_.clear();
   for (const config::Endpoint& entry : endpoint_list.entries) {
     if (entry.upstream.state == UpstreamState::kRemoved) {
@@ -477,7 +476,7 @@
     return OnAttemptFinished({.request = action.request,
                               .attempt = action.attempt,
                               .upstream = action.upstream,
-                              .result = planner::AttemptResult::kCouldNotConnect},
+                              .result = planner::AttemptResult::kConnectFailed},
                              {});
   }
   held.attempts.resize(static_cast<std::size_t>(action.attempt) + 1);
@@ -544,7 +543,7 @@
   (up == counters_.rend() ? counters_.back() : *up).Ask(std::move(action));
 }
 
-void GatewayServer::Execute(planner::ProbeUpstream& action) { pool_.StartHealthCheck(action.upstream); }
+void GatewayServer::Execute(planner::StartHealthCheck& action) { pool_.StartHealthCheck(action.upstream); }
 
 void GatewayServer::Execute(planner::LogEvent& action) { Log("decisions", action.line); }
 
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -81,7 +81,7 @@
   void ResumeStream(RequestId number) override;
   // AttemptListener
   void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) override;
-  void OnHealthCheckFinished(const planner::ProbeReport& report) override;
+  void OnHealthCheckFinished(const planner::HealthCheckReport& report) override;
   bool IsStillNeeded(RequestId request) override;
   void OnRulePrevented(safety::Rule rule) override { metrics_.rules.Prevented(rule); }
   Value OnLargeValue(const planner::AttemptReport& report) override;
@@ -115,7 +115,7 @@
   void Execute(planner::SendMembershipDatagram& action);
   void Execute(planner::CancelAttempt& action);
   void Execute(planner::CallCounter& action);
-  void Execute(planner::ProbeUpstream& action);
+  void Execute(planner::StartHealthCheck& action);
   void Execute(planner::LogEvent& action);
   std::optional<ops::MembershipMetrics> MembershipMetrics() const;
   bool CanServe() const;
--- a/src/net/upstream/counter_client.cpp
+++ b/src/net/upstream/counter_client.cpp
@@ -63,7 +63,7 @@
   const auto amount_end =
       std::to_chars(amount.data(), amount.data() + amount.size(), ask.amount, std::chars_format::fixed).ptr;
   const std::int64_t life_ms =
-      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(ask.incarnation).count(), 1, kMaxLifeMs);
+      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(ask.ttl).count(), 1, kMaxLifeMs);
   std::array<char, 24> incarnation;
   const auto life_end =
       std::to_chars(incarnation.data(), incarnation.data() + incarnation.size(), life_ms).ptr;
@@ -112,7 +112,7 @@
   // At once where it has served: an unreadable answer now and then must not leave calls without a counter.
   if (std::exchange(has_answered_, false) && !retired_) Dial();
   for (Call& call : calls) {
-    Report(call, call.end <= written ? CounterResult::kNoAnswer : CounterResult::kUnreachable);
+    Report(call, call.end <= written ? CounterResult::kTimedOut : CounterResult::kUnreachable);
   }
 }
 
@@ -142,7 +142,7 @@
   double total = 0;
   const std::string_view update = reply.text.substr(0, reply.text.find(' '));
   if (reply.kind == Kind::kError && (update == "BUSY" || update == "ERR")) {
-    result = CounterResult::kTurnedAway;
+    result = CounterResult::kRejected;
   } else if (calls_.front().is_ping) {
     if (reply.kind != Kind::kSimple) return Lost("malformed answer");
   } else if ((reply.kind != Kind::kBulk && reply.kind != Kind::kInteger) || !ToNumber(reply.text, total) ||
@@ -170,7 +170,7 @@
 void CounterClient::OnTimer() {
   const auto now = Clock::now();
   while (reported_ < calls_.size() && calls_[reported_].begun + timeout_ <= now) {
-    Report(calls_[reported_++], CounterResult::kNoAnswer);
+    Report(calls_[reported_++], CounterResult::kTimedOut);
   }
   ArmTimer();
 }
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -103,7 +103,7 @@
 
   // An upstream that drains or is gone may get nothing new: what has not been written to it goes elsewhere.
   void LeaveIfUnsent() {
-    if (busy_ && unsent_) Close(AttemptResult::kCouldNotConnect);
+    if (busy_ && unsent_) Close(AttemptResult::kConnectFailed);
   }
   [[nodiscard]] bool current() const { return incarnation_ == upstream_.incarnation; }
 
@@ -136,7 +136,7 @@
     const auto now = Clock::now();
     if (const std::optional<safety::Rule> rule = Forbidden(now)) {
       pool_.listener_.OnRulePrevented(*rule);
-      return Close(AttemptResult::kCouldNotConnect);
+      return Close(AttemptResult::kConnectFailed);
     }
     unsent_ = !(is_probe_ ? BeginWrite(connection_.get(), pool_.probe_) : Send());
     if (unsent_) return timer_.Arm(kSendAgain);
@@ -187,7 +187,7 @@
     // What broke one connection has most likely broken those that stand idle beside it: each would cost an
     // attempt that then counts as one that may have run.
     if (busy_) pool_.CloseIdle(upstream_, Clock::time_point::max());
-    Close(never_ran ? AttemptResult::kCouldNotConnect : AttemptResult::kReset);
+    Close(never_ran ? AttemptResult::kConnectFailed : AttemptResult::kReset);
   }
 
   // Counted when the last byte has gone to the socket, and once: not when it is in a buffer of ours.
@@ -201,13 +201,13 @@
     if (up_ && unsent_) return SendIfAllowed();
     if (stalled_ || told_) return Malformed();
     const bool never_ran = unsent_ || Unwritten(connection_.get()) > 0;
-    Close(never_ran ? AttemptResult::kCouldNotConnect : AttemptResult::kTimedOut);
+    Close(never_ran ? AttemptResult::kConnectFailed : AttemptResult::kTimedOut);
   }
 
   void Read() {
     if (!busy_ || unsent_) {  // nobody asked
       pool_.NoteUnasked();
-      return Close(busy_ ? AttemptResult::kCouldNotConnect : AttemptResult::kReset);
+      return Close(busy_ ? AttemptResult::kConnectFailed : AttemptResult::kReset);
     }
     if (value_left_ > 0) return Pump();
     if (told_) return ReadRest();
@@ -254,11 +254,11 @@
     const auto wanted = pool_.listener_.OnLargeValue({.request = key_.request,
                                                       .attempt = key_.attempt,
                                                       .upstream = upstream_.name,
-                                                      .result = AttemptResult::kServed,
+                                                      .result = AttemptResult::kSucceeded,
                                                       .elapsed = elapsed});
     if (wanted == AttemptListener::Value::kWhole) return false;
     if (wanted == AttemptListener::Value::kNone) {
-      Close(AttemptResult::kAbandoned);
+      Close(AttemptResult::kCancelled);
       return true;
     }
     SetKernelBytes(connection_.get(), SO_RCVBUF, kKernelBytes);
@@ -352,17 +352,17 @@
     if (reply.kind == Kind::kError) {
       const std::string_view update = reply.text.substr(0, reply.text.find(' '));
       if (update == "BUSY") {
-        result = AttemptResult::kTurnedAway;
+        result = AttemptResult::kRejected;
       } else if (update != "ERR") {
         return Malformed();
       }
       resp::DecodeErrorTail(reply.text, use, load);
     } else if (is_probe_ && (reply.kind == Kind::kBulk || reply.kind == Kind::kSimple)) {
-      result = AttemptResult::kServed;
+      result = AttemptResult::kSucceeded;
       load = resp::DecodeLoad(reply.text);
     } else if (!is_probe_ && reply.kind == Kind::kArray && reply.count >= 1 && !reply.parts[0].null &&
                reply.first_raw.front() == '$') {
-      result = AttemptResult::kServed;
+      result = AttemptResult::kSucceeded;
       value = reply.first_raw;
       if (reply.count >= 2 && !reply.parts[1].null) use = resp::DecodeUse(reply.parts[1].text);
       if (reply.count >= 3 && !reply.parts[2].null) load = resp::DecodeLoad(reply.parts[2].text);
@@ -477,7 +477,7 @@
   listener_.OnAttemptFinished({.request = key.request,
                                .attempt = key.attempt,
                                .upstream = upstream,
-                               .result = AttemptResult::kCouldNotConnect},
+                               .result = AttemptResult::kConnectFailed},
                               {});
 }
 
@@ -486,7 +486,7 @@
   if (found != upstreams_.end()) {
     return Start(*found->second, nullptr, {}, limits_.dial_timeout, limits_.dial_timeout);
   }
-  listener_.OnHealthCheckFinished({.upstream = upstream, .result = AttemptResult::kCouldNotConnect});
+  listener_.OnHealthCheckFinished({.upstream = upstream, .result = AttemptResult::kConnectFailed});
 }
 
 void UpstreamPool::Start(PooledUpstream& upstream, const AttemptKey* key, const resp::EncodedRequest& message,
@@ -500,18 +500,18 @@
   }
   if (key == nullptr) {
     return listener_.OnHealthCheckFinished(
-        {.upstream = upstream.name, .result = AttemptResult::kCouldNotConnect});
+        {.upstream = upstream.name, .result = AttemptResult::kConnectFailed});
   }
   listener_.OnAttemptFinished({.request = key->request,
                                .attempt = key->attempt,
                                .upstream = upstream.name,
-                               .result = AttemptResult::kCouldNotConnect},
+                               .result = AttemptResult::kConnectFailed},
                               {});
 }
 
 void UpstreamPool::CancelAttempt(const AttemptKey& key) {
   const auto found = attempts_.find(key);
-  if (found != attempts_.end()) found->second->Close(AttemptResult::kAbandoned);
+  if (found != attempts_.end()) found->second->Close(AttemptResult::kCancelled);
 }
 
 void UpstreamPool::Resume(const AttemptKey& key) {
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -32,7 +32,7 @@
  public:
   // `value` is the whole bulk string of a served attempt; it holds during the call.
   virtual void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) = 0;
-  virtual void OnHealthCheckFinished(const planner::ProbeReport& report) = 0;
+  virtual void OnHealthCheckFinished(const planner::HealthCheckReport& report) = 0;
   // Whether anyone still waits for the request: asked when its first byte is about to leave.
   virtual bool IsStillNeeded(RequestId request) = 0;
   // An attempt or probe is not begun, for it would break this rule.
--- /dev/null
+++ b/src/planner/idempotency_adapter.cpp
@@ -0,0 +1,220 @@
+#include "planner/idempotency_adapter.h"
+
+#include <algorithm>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <utility>
+#include <variant>
+
+#include "idempotency/digest.h"
+#include "planner/event_translation.h"
+
+namespace postspread::planner {
+namespace {
+
+FailureReason ToReason(idempotency::FailureReason reason) {
+  switch (reason) {
+    case idempotency::FailureReason::kUnknown:
+      return FailureReason::kUnknown;
+    case idempotency::FailureReason::kOther:
+      return FailureReason::kOtherKey;
+    case idempotency::FailureReason::kAnswerGone:
+      return FailureReason::kAnswerGone;
+  }
+  return FailureReason::kFailed;
+}
+
+idempotency::IdempotencyReplica::Identity ToIdentity(const PlannerOptions& options, const Settings& settings,
+                                                     TimePoint now) {
+  return {.rank = settings.rank,
+          .group_size = settings.group_size,
+          .has_peers = options.has_peers,
+          .incarnation = static_cast<std::uint64_t>(now.count())};
+}
+
+// The index of the entry of this name; nothing: there is none.
+template <typename Entry>
+std::optional<std::size_t> FindIndex(const std::vector<Entry>& entries, std::string_view name) {
+  const auto found = std::find_if(entries.begin(), entries.end(),
+                                  [name](const Entry& candidate) { return candidate.name == name; });
+  if (found == entries.end()) return std::nullopt;
+  return static_cast<std::size_t>(found - entries.begin());
+}
+
+}  // namespace
+
+IdempotencyAdapter::IdempotencyAdapter(const PlannerOptions& options, const Settings& settings, TimePoint now,
+                                       const UpstreamSet& upstreams, ControllerAdapter& controller,
+                                       std::vector<Action>& actions)
+    : settings_(settings),
+      controller_(controller),
+      actions_(actions),
+      replica_(options.idempotency, ToIdentity(options, settings, now), now),
+      groups_(settings, upstreams) {}
+
+void IdempotencyAdapter::OnMembershipView(const membership::View& view) {
+  std::vector<idempotency::Peers::Seen> seen(static_cast<std::size_t>(settings_.group_size));
+  for (const membership::Member& member : view.members) {
+    if (member.peer >= seen.size() || member.update.incarnation <= seen[member.peer].incarnation) continue;
+    seen[member.peer] = {!membership::IsLive(member.update.state), member.update.incarnation};
+  }
+  replica_.SetView(std::move(seen));
+}
+
+void IdempotencyAdapter::OnUpstreamsChanged(TimePoint now) {
+  groups_.Invalidate();
+  RefreshGroups(now);
+}
+
+void IdempotencyAdapter::RefreshGroups(TimePoint now) {
+  std::optional<std::vector<idempotency::Pod>> groups = groups_.Refresh(now);
+  if (groups) replica_.SetPods(std::move(*groups));
+}
+
+bool IdempotencyAdapter::Begin(const Request& request, RequestId id, TimePoint now) {
+  const std::optional<idempotency::Ask> ask = ToAsk(request, id, now);
+  if (!ask) return false;
+  RefreshGroups(now);
+  Apply(replica_.Begin(*ask, now), now);
+  FinishWork(now);
+  return true;
+}
+
+void IdempotencyAdapter::OnClientDisconnect(RequestId request, TimePoint now) {
+  Apply(replica_.OnClientDisconnect(request, now), now);
+}
+
+void IdempotencyAdapter::Received(int rank, std::string_view bytes, TimePoint now) {
+  Apply(replica_.Received(rank, bytes, now), now);
+}
+
+void IdempotencyAdapter::Tick(TimePoint now) {
+  Apply(replica_.Tick(now), now);
+  FinishWork(now);
+}
+
+void IdempotencyAdapter::OnSucceeded(RequestId request, std::string value) {
+  finished_.push_back({request, idempotency::End::kServed, std::move(value)});
+}
+
+void IdempotencyAdapter::OnRejected(RequestId request, Duration retry_after) {
+  finished_.push_back({request, idempotency::End::kRefused, {}, retry_after});
+}
+
+void IdempotencyAdapter::OnFailed(RequestId request) {
+  finished_.push_back({request, idempotency::End::kFailed, {}});
+}
+
+// The end of one piece of work may start another that ends at once in its turn. The loop ends, as each round
+// uses up a request that waited.
+void IdempotencyAdapter::FinishWork(TimePoint now) {
+  while (!finished_.empty()) {
+    std::vector<FinishedWork> round;
+    round.swap(finished_);
+    for (FinishedWork& work : round) {
+      Apply(replica_.OnWorkFinished(work.request, work.end, std::move(work.value), work.retry_after, now),
+            now);
+    }
+  }
+}
+
+std::optional<idempotency::Ask> IdempotencyAdapter::ToAsk(const Request& request, RequestId id,
+                                                          TimePoint now) const {
+  if (request.key.empty()) return std::nullopt;
+  const std::optional<std::size_t> class_index = FindIndex(settings_.classes, request.class_name);
+  const std::optional<std::size_t> plan_index = FindIndex(settings_.plans, request.plan);
+  if (!class_index || !plan_index) return std::nullopt;
+  const ClassSettings& class_settings = settings_.classes[*class_index];
+  idempotency::Ask ask;
+  ask.waiter = id;
+  ask.key = idempotency::DigestKey(request.customer, request.class_name, request.key);
+  ask.fingerprint = idempotency::DigestRequest(request.customer, request.class_name, request.key,
+                                               request.units, request.body);
+  ask.customer = idempotency::DigestCustomer(request.customer);
+  ask.deadline = now + TimeLeft(request.timeout);
+  ask.window = class_settings.key_ttl;
+  ask.pinned = class_settings.scope != KeyScope::kAll;
+  std::copy_n(request.customer.begin(), std::min(request.customer.size(), ask.work.customer.size()),
+              ask.work.customer.begin());
+  ask.work.class_index = static_cast<std::int16_t>(*class_index);
+  ask.work.plan_index = static_cast<std::int16_t>(*plan_index);
+  ask.work.spread = static_cast<std::int16_t>(request.spread);
+  ask.work.first = static_cast<std::int16_t>(request.first);
+  ask.work.units = static_cast<float>(request.units);
+  ask.work.is_retry = request.is_retry;
+  return ask;
+}
+
+RequestEvent IdempotencyAdapter::ToEvent(const idempotency::Work& work, RequestId id,
+                                         Duration time_left) const {
+  RequestEvent event;
+  event.id = id;
+  event.class_name = settings_.classes[static_cast<std::size_t>(work.class_index)].name;
+  event.plan = settings_.plans[static_cast<std::size_t>(work.plan_index)].name;
+  event.customer.assign(work.customer.begin(), std::find(work.customer.begin(), work.customer.end(), '\0'));
+  event.time_left = std::max<Duration>(std::chrono::milliseconds(1), time_left);
+  event.units = work.units;
+  event.spread = work.spread;
+  event.first_gateway = work.first;
+  event.retry = work.is_retry;
+  event.write = true;
+  return event;
+}
+
+KeyPin IdempotencyAdapter::ToKeyPin(const idempotency::Pin& pin) const {
+  KeyPin out;
+  out.may_have_run = pin.may_have_run;
+  out.age = pin.age;
+  if (!pin.has_pod) return out;
+  // Where no upstream belongs to the group any more its number alone says that nothing may go elsewhere.
+  out.bound = true;
+  out.cell = pin.pod;
+  if (const std::string* zone = groups_.FindZone(pin.pod)) out.zone = *zone;
+  return out;
+}
+
+void IdempotencyAdapter::Apply(idempotency::Actions actions, TimePoint now) {
+  // Work that is started here may end at once, and the replica's next call replaces `actions`.
+  for (idempotency::Action& action : std::vector<idempotency::Action>(actions.begin(), actions.end())) {
+    std::visit([this, now](auto& alternative) { Translate(std::move(alternative), now); }, action);
+  }
+}
+
+void IdempotencyAdapter::Translate(idempotency::StartRequest&& action, TimePoint now) {
+  RequestEvent event = ToEvent(action.work, action.waiter, action.deadline - now);
+  event.pin = ToKeyPin(action.pin);
+  controller_.Begin(std::move(event), now);
+}
+
+void IdempotencyAdapter::Translate(idempotency::StartUnprotected&& action, TimePoint now) {
+  controller_.Begin(ToEvent(action.work, action.waiter, action.deadline - now), now);
+}
+
+void IdempotencyAdapter::Translate(idempotency::CompleteRequest&& action, TimePoint) {
+  actions_.emplace_back(CompleteRequest{action.waiter, std::move(action.value)});
+}
+
+void IdempotencyAdapter::Translate(idempotency::RejectWithRetryAfter&& action, TimePoint) {
+  Duration retry_after = settings_.retry_after ? action.retry_after : Duration(0);
+  if (settings_.max_retry_after.count() > 0) retry_after = std::min(retry_after, settings_.max_retry_after);
+  actions_.emplace_back(RejectWithRetryAfter{action.waiter, retry_after});
+}
+
+void IdempotencyAdapter::Translate(idempotency::FailRequest&& action, TimePoint) {
+  actions_.emplace_back(FailRequest{action.waiter, ToReason(action.reason)});
+}
+
+void IdempotencyAdapter::Translate(idempotency::ReleaseRequest&& action, TimePoint) {
+  actions_.emplace_back(ReleaseRequest{action.waiter});
+}
+
+void IdempotencyAdapter::Translate(idempotency::SendDatagram&& action, TimePoint) {
+  actions_.emplace_back(SendDatagram{action.rank, std::move(action.bytes)});
+}
+
+void IdempotencyAdapter::Translate(idempotency::LogEvent&& action, TimePoint) {
+  actions_.emplace_back(LogEvent{std::move(action.line)});
+}
+
+}  // namespace postspread::planner
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 void StartTimes::Apply(EndpointListReport& report, Time now) {
-  if (report.scope != EndpointUpdateKind::kChanges) {
+  if (report.kind != EndpointUpdateKind::kChanges) {
     for (auto& [name, start] : starts_) start.listed = false;
   }
   for (Upstream& upstream : report.upstreams) {
@@ -26,7 +26,7 @@
     upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
   // What the configuration remembers of earlier lists says nothing of when it was true.
-  if (report.scope != EndpointUpdateKind::kPersisted) last_list_ = now;
+  if (report.kind != EndpointUpdateKind::kPersisted) last_list_ = now;
   ForgetUnlisted();
 }
 
--- /dev/null
+++ b/src/planner/timer_queue.h
@@ -0,0 +1,47 @@
+// The controller's one-shot timers, by due time; timers of one due time fire in the order of their setting.
+#ifndef POSTSPREAD_PLANNER_TIMER_QUEUE_H_
+#define POSTSPREAD_PLANNER_TIMER_QUEUE_H_
+
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <queue>
+#include <vector>
+
+#include "postspread/control.h"
+
+namespace postspread::planner {
+
+class TimerQueue {
+ public:
+  // A position in the order of setting.
+  using Sequence = std::uint64_t;
+
+  void Set(TimePoint due, std::uint64_t token);
+
+  // The position of the next timer to be set: PopDue can leave those out that are set from here on.
+  [[nodiscard]] Sequence next_sequence() const { return next_sequence_; }
+
+  // Removes the first timer if it is due and was set before position `before`, and returns its token.
+  std::optional<std::uint64_t> PopDue(TimePoint now, Sequence before);
+
+  // When the first timer is due; nothing: none is set.
+  [[nodiscard]] std::optional<TimePoint> NextDue() const;
+
+ private:
+  struct Timer {
+    TimePoint due{0};
+    Sequence sequence = 0;
+    std::uint64_t token = 0;
+    bool operator>(const Timer& other) const {
+      return due != other.due ? due > other.due : sequence > other.sequence;
+    }
+  };
+
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+  Sequence next_sequence_ = 0;
+};
+
+}  // namespace postspread::planner
+
+#endif  // POSTSPREAD_PLANNER_TIMER_QUEUE_H_
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -1,4 +1,4 @@
-// What goes into the planner and what comes out of it: plain values that name no type of the module.
+// The planner's input and output: plain values that name no type of the controller.
 #ifndef POSTSPREAD_PLANNER_TYPES_H_
 #define POSTSPREAD_PLANNER_TYPES_H_
 
@@ -18,42 +18,43 @@
 
 using Clock = std::chrono::steady_clock;
 
-// ---- Steps: to be carried out at once, in order.
+// ---- Actions: to be executed at once, in order.
 
-// Begins a delivery attempt. A request's attempts are numbered 0, 1, ... in the order of these steps.
+// Starts an attempt.
 struct StartAttempt {
   RequestId request = 0;
-  int attempt = 0;
+  AttemptNumber attempt = 0;
   std::string upstream;
   std::chrono::microseconds timeout{0};
   std::chrono::microseconds begin_within{0};  // its first byte may not arrive later
 };
 
-// Final answer: not done, and asking again is harmless.
+// Final response: the request was not executed, and a retry is harmless.
 struct RejectWithRetryAfter {
   RequestId request = 0;
   std::chrono::microseconds retry_after{0};  // 0: no advice
 };
 
-// Final answer: promises nothing.
 enum class FailureReason {
   kFailed,
-  kUnknown,     // an earlier request under the same key may have been carried out
+  kUnknown,     // an earlier request with the same key may have been executed
   kOtherKey,    // the key belongs to another request
-  kAnswerGone,  // an earlier request under the same key was carried out; its answer is held no longer
+  kAnswerGone,  // an earlier request with the same key was executed; its response is no longer cached
 };
+
+// Final response: the request may have been executed.
 struct FailRequest {
   RequestId request = 0;
   FailureReason reason = FailureReason::kFailed;
 };
 
-// Final answer: the value that an upstream gave for an earlier request under the same key.
+// Final response: the value that an upstream returned for an earlier request with the same key.
 struct CompleteRequest {
   RequestId request = 0;
   std::shared_ptr<const std::string> value;
 };
 
-// Its sender has gone, and nothing needs the request any more.
+// The client has disconnected, and nothing needs the request any more.
 struct ReleaseRequest {
   RequestId request = 0;
 };
@@ -65,7 +66,7 @@
   std::string bytes;
 };
 
-// A datagram of the membership view, to a place as this installation counts them.
+// A membership datagram; `peer` is a membership::PeerId.
 struct SendMembershipDatagram {
   std::uint64_t peer = 0;
   std::string bytes;
@@ -73,66 +74,73 @@
 
 struct CancelAttempt {
   RequestId request = 0;
-  int attempt = 0;
+  AttemptNumber attempt = 0;
 };
 
+// Adds `amount` to a shared counter.
 struct CallCounter {
   std::string name;
   double amount = 0.0;
-  std::chrono::microseconds incarnation{0};  // of a new name
+  std::chrono::microseconds ttl{0};  // of the counter, where this call creates it
 };
 
-struct ProbeUpstream {
+struct StartHealthCheck {
   std::string upstream;
 };
 
-struct LogEvent {  // a line for the log
+struct LogEvent {
   std::string line;
 };
 
-using Action =
-    std::variant<StartAttempt, RejectWithRetryAfter, FailRequest, CompleteRequest, ReleaseRequest,
-                 CancelAttempt, CallCounter, ProbeUpstream, SendDatagram, SendMembershipDatagram, LogEvent>;
+using Action = std::variant<StartAttempt, RejectWithRetryAfter, FailRequest, CompleteRequest, ReleaseRequest,
+                            CancelAttempt, CallCounter, StartHealthCheck, SendDatagram,
+                            SendMembershipDatagram, LogEvent>;
 
-// ---- Reports: what came back.
+// ---- Reports: results of actions, and what happened besides.
 
-enum class AttemptResult { kServed, kError, kTurnedAway, kTimedOut, kCouldNotConnect, kReset, kAbandoned };
+enum class AttemptResult { kSucceeded, kError, kRejected, kTimedOut, kConnectFailed, kReset, kCancelled };
 
+// The metric label values, which are fixed.
 constexpr std::string_view Name(AttemptResult result) {
   switch (result) {
-    case AttemptResult::kServed:
+    case AttemptResult::kSucceeded:
       return "served";
     case AttemptResult::kError:
       return "error";
-    case AttemptResult::kTurnedAway:
+    case AttemptResult::kRejected:
       return "turned_away";
     case AttemptResult::kTimedOut:
       return "timed_out";
-    case AttemptResult::kCouldNotConnect:
+    case AttemptResult::kConnectFailed:
       return "could_not_connect";
     case AttemptResult::kReset:
       return "reset";
-    case AttemptResult::kAbandoned:
+    case AttemptResult::kCancelled:
       return "abandoned";
   }
   return "";
 }
 
-// An attempt is over; told exactly once for each Deliver.
+// An attempt has ended; reported exactly once for each StartAttempt.
 struct AttemptReport {
   RequestId request = 0;
-  int attempt = 0;
+  AttemptNumber attempt = 0;
   std::string upstream;
-  AttemptResult result = AttemptResult::kServed;
+  AttemptResult result = AttemptResult::kSucceeded;
   std::chrono::microseconds elapsed{0};
   UpstreamLoad load{};
   ReportedUsage use{};
-  std::string value{};  // with kServed, where Planner::Keeps the request's answer
+  std::string value{};  // with kSucceeded, where Planner::NeedsAnswer
 };
 
-enum class CounterResult { kAdded, kTurnedAway, kUnreachable, kNoAnswer };  // kNoAnswer: may have been added
+enum class CounterResult {
+  kAdded,
+  kRejected,
+  kUnreachable,
+  kTimedOut,  // the amount may have been added
+};
 
-// Told exactly once for each AskCounter, for one name in the order of its asks.
+// Reported exactly once for each CallCounter; for one name in the order of its calls.
 struct CounterReport {
   std::string name;
   CounterResult result = CounterResult::kAdded;
@@ -140,15 +148,17 @@
   std::chrono::microseconds elapsed{0};
 };
 
+// An update of discovery's endpoint list.
 struct EndpointListReport {
-  EndpointUpdateKind scope = EndpointUpdateKind::kSnapshot;
-  std::uint64_t index = 0;
+  EndpointUpdateKind kind = EndpointUpdateKind::kSnapshot;
+  std::uint64_t index = 0;  // version of the list
   std::vector<Upstream> upstreams;
 };
 
-struct ProbeReport {
+// A health check has ended; reported exactly once for each StartHealthCheck.
+struct HealthCheckReport {
   std::string upstream;
-  AttemptResult result = AttemptResult::kServed;
+  AttemptResult result = AttemptResult::kSucceeded;
   std::chrono::microseconds elapsed{0};
   UpstreamLoad load{};
 };
@@ -157,19 +167,19 @@
   RequestId request = 0;
 };
 
-// A datagram of the gateway of this rank.
+// A datagram from the gateway of this rank.
 struct PeerReport {
   int rank = 0;
   std::string bytes;
 };
 
-// A datagram from a place, where the membership view has a socket of its own.
+// A membership datagram, where membership has a socket of its own; `peer` is a membership::PeerId.
 struct MembershipReport {
   std::uint64_t peer = 0;
   std::string bytes;
 };
 
-using ReportValue = std::variant<AttemptReport, CounterReport, EndpointListReport, ProbeReport,
+using ReportValue = std::variant<AttemptReport, CounterReport, EndpointListReport, HealthCheckReport,
                                  ClientDisconnected, PeerReport, MembershipReport>;
 
 }  // namespace postspread::planner
--- /dev/null
+++ b/src/planner/upstream_groups.cpp
@@ -0,0 +1,35 @@
+#include "planner/upstream_groups.h"
+
+#include <cstddef>
+#include <map>
+
+namespace postspread::planner {
+
+UpstreamGroups::UpstreamGroups(const Settings& settings, const UpstreamSet& upstreams)
+    : settings_(settings), upstreams_(upstreams) {}
+
+std::optional<std::vector<idempotency::Pod>> UpstreamGroups::Refresh(TimePoint now) {
+  if (counted_at_ && now - *counted_at_ < kMaxAge) return std::nullopt;
+  counted_at_ = now;
+  zones_.clear();
+  std::map<std::int64_t, std::size_t> ready;
+  std::map<std::int64_t, std::size_t> warm;
+  for (const auto& [name, upstream] : upstreams_.by_name()) {
+    zones_.emplace(upstream.cell, upstream.zone);
+    ready.try_emplace(upstream.cell, 0);
+    if (upstream.state != UpstreamState::kReady) continue;
+    ++ready[upstream.cell];
+    if (now - upstream.started >= settings_.slow_start_duration) ++warm[upstream.cell];
+  }
+  // Keys are bound to warmed-up groups: one in slow start would have to reject most of their requests.
+  std::vector<idempotency::Pod> groups;
+  for (const auto& [group, count] : warm.empty() ? ready : warm) groups.push_back({group, count});
+  return groups;
+}
+
+const std::string* UpstreamGroups::FindZone(std::int64_t group) const {
+  const auto found = zones_.find(group);
+  return found == zones_.end() ? nullptr : &found->second;
+}
+
+}  // namespace postspread::planner
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -107,7 +107,7 @@
       } else if (const auto* ask = std::get_if<CallCounter>(&actions[n])) {
         const bool added = total > 0 && i > 0;
         more = planner.Report(
-            CounterReport{ask->name, added ? CounterResult::kAdded : CounterResult::kTurnedAway, total}, now);
+            CounterReport{ask->name, added ? CounterResult::kAdded : CounterResult::kRejected, total}, now);
       }
       const std::vector<Action> copied(more.begin(), more.end());
       actions.insert(actions.end(), copied.begin(), copied.end());
@@ -124,7 +124,7 @@
   Clock::time_point now{seconds(50)};
   EndpointListReport endpoint_list;
   endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"}};
-  const Planner::Extras extras{.keys = {}, .usage = {.broadcast = true}, .has_peers = true};
+  const PlannerOptions extras{.idempotency = {}, .usage = {.broadcast = true}, .has_peers = true};
   Planner teller(settings, 1, seconds(1'000'000), now, extras),
       told(settings, 2, seconds(1'000'000), now, extras),
       untold(settings, 2, seconds(1'000'000), now, extras);
@@ -153,8 +153,8 @@
   settings.group_size = 2;
   Clock::time_point now{seconds(50)};
   const auto start = [&](int rank, seconds wall) {
-    Planner::Extras extras;
-    extras.keys.enabled = extras.membership.enabled = extras.has_peers = true;
+    PlannerOptions extras;
+    extras.idempotency.enabled = extras.membership.enabled = extras.has_peers = true;
     extras.name = "gk-" + std::to_string(rank);
     extras.peer = static_cast<membership::PeerId>(rank);
     extras.seeds = {0, 1};
@@ -206,7 +206,7 @@
     "a gatekeeper of many uses its part of the next hops, and a place that falls empty is filled at once") {
   Settings settings = Site(false);
   settings.group_size = 100;
-  Planner::Extras extras;
+  PlannerOptions extras;
   extras.subsetting.subsets = true;
   Clock::time_point now{seconds(50)};
   Planner planner(settings, 1, seconds(1'000'000), now, extras);
@@ -237,7 +237,7 @@
   CHECK(before.size() >= 4);
   CHECK(before.size() <= 8);
   // All of these drain, by a list of changes: others are used from the next request on.
-  EndpointListReport changes{.scope = EndpointUpdateKind::kChanges, .index = 1, .upstreams = {}};
+  EndpointListReport changes{.kind = EndpointUpdateKind::kChanges, .index = 1, .upstreams = {}};
   for (const std::string& name : before) {
     changes.upstreams.push_back({.name = name, .zone = "z", .kind = "k", .state = UpstreamState::kDraining});
   }
@@ -256,12 +256,12 @@
   CHECK(first->attempt == 0);
   CHECK(first->timeout == milliseconds(1990));
   bench.Report(
-      AttemptReport{number, 0, first->upstream, AttemptResult::kCouldNotConnect, microseconds(9), {}});
+      AttemptReport{number, 0, first->upstream, AttemptResult::kConnectFailed, microseconds(9), {}});
   const auto second = bench.Only<StartAttempt>();
   REQUIRE(second);
   CHECK(second->attempt == 1);
   CHECK(second->upstream != first->upstream);
-  bench.Report(AttemptReport{number, 1, second->upstream, AttemptResult::kServed, microseconds(9), {}});
+  bench.Report(AttemptReport{number, 1, second->upstream, AttemptResult::kSucceeded, microseconds(9), {}});
   CHECK(bench.last.empty());
   CHECK(bench.Pick() != number);
 }
@@ -309,7 +309,7 @@
   const auto abandon = bench.Only<CancelAttempt>();
   REQUIRE(abandon);
   CHECK(abandon->request == number);
-  bench.Report(AttemptReport{number, 0, "a", AttemptResult::kAbandoned, microseconds(9), {}});
+  bench.Report(AttemptReport{number, 0, "a", AttemptResult::kCancelled, microseconds(9), {}});
   CHECK(bench.last.empty());
 }
 
@@ -334,7 +334,7 @@
     next.classes[1].name = "class" + std::to_string(round);
     CHECK_FALSE(bench.planner.Reconfigure(next));
   }
-  CHECK(bench.planner.places() == 2);
+  CHECK(bench.planner.class_slots() == 2);
   const Planner::PickResult picked = bench.planner.Pick({.class_name = "class49",
                                                          .plan = "team",
                                                          .customer = "0000000000000002",
@@ -358,7 +358,7 @@
   Clock::time_point now{seconds(50)};
   const seconds wall(1'000'000);
   Planner planner(settings, 1, wall, now);
-  EndpointListReport endpoint_list{.scope = EndpointUpdateKind::kSnapshot, .index = 1, .upstreams = {}};
+  EndpointListReport endpoint_list{.kind = EndpointUpdateKind::kSnapshot, .index = 1, .upstreams = {}};
   endpoint_list.upstreams = {{.name = "a", .zone = "z", .kind = "k"},
                              {.name = "b", .zone = "z", .kind = "k"}};
   planner.Report(endpoint_list, now);
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -17,7 +17,7 @@
 EndpointListReport List(EndpointUpdateKind scope, milliseconds started,
                         UpstreamState state = UpstreamState::kReady) {
   const Upstream upstream{.name = "s-1", .zone = "z", .kind = "k", .state = state, .started = started};
-  return {.scope = scope, .index = 1, .upstreams = {upstream}};
+  return {.kind = scope, .index = 1, .upstreams = {upstream}};
 }
 microseconds Told(StartTimes& starts, EndpointUpdateKind scope, milliseconds started, microseconds now) {
   EndpointListReport report = List(scope, started);
