--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -328,12 +328,12 @@
   if (found != streaming_.end()) found->second.writer->WriteStream(found->second.slot, from, size);
 }
 
-void GatewayServer::OnStreamFinished(RequestId request, bool whole) {
+void GatewayServer::OnStreamFinished(RequestId request, StreamEnd end) {
   const auto found = streaming_.find(request);
   if (found == streaming_.end()) return;
   const StreamingResponse streaming = found->second;
   streaming_.erase(found);
-  if (whole) {
+  if (end == StreamEnd::kComplete) {
     ++streaming.metrics->completed;
     return streaming.writer->EndStream(streaming.slot);
   }
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -87,7 +87,7 @@
   Value OnLargeValue(const planner::AttemptReport& report) override;
   std::size_t StreamCapacity(RequestId request) override;
   void StreamValue(RequestId request, evbuffer* from, std::size_t size) override;
-  void OnStreamFinished(RequestId request, bool whole) override;
+  void OnStreamFinished(RequestId request, StreamEnd end) override;
   void OnAttemptWritten() override { ++metrics_.upstream_requests; }
   // CounterListener
   void OnCounterReply(planner::CounterReport report) override;
--- /dev/null
+++ b/src/net/upstream/upstream_connection.cpp
@@ -0,0 +1,378 @@
+#include "net/upstream/upstream_connection.h"
+
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <cassert>
+#include <optional>
+#include <utility>
+
+#include "net/upstream/pooled_upstream.h"
+
+namespace postspread::net {
+namespace {
+
+using planner::AttemptResult;
+using std::chrono::duration_cast;
+using std::chrono::microseconds;
+using std::chrono::milliseconds;
+
+// Within a large value; its client would not wait for longer.
+constexpr milliseconds kValueStallTimeout{3'000};
+constexpr milliseconds kSendRetryInterval{5};  // while the socket takes nothing
+// Read ahead of what is parsed or forwarded.
+constexpr std::size_t kReadAheadBytes = std::size_t{72} * 1024;
+// The kernel's buffer of a connection that streams a large value.
+constexpr int kStreamKernelBytes = 64 * 1024;
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(UpstreamConnectionContext& context, UpstreamConnectionOwner& owner,
+                                       PooledUpstream& upstream)
+    : context_(context),
+      owner_(owner),
+      upstream_(upstream),
+      incarnation_(upstream.incarnation),
+      timer_(context.base, [this] { OnTimeout(); }) {}
+
+bool UpstreamConnection::Connect() {
+  connect_started_at_ = Clock::now();
+  connection_ = Dial(
+      context_.base, upstream_.address,
+      [](bufferevent*, void* self) { static_cast<UpstreamConnection*>(self)->OnReadable(); },
+      [](bufferevent*, void* self) { static_cast<UpstreamConnection*>(self)->OnWritten(); },
+      [](bufferevent*, short what, void* self) { static_cast<UpstreamConnection*>(self)->OnEvent(what); },
+      this);
+  if (!connection_) return false;
+  bufferevent_setwatermark(connection_.get(), EV_READ, 0, kReadAheadBytes);
+  return Watch(connection_.get());
+}
+
+// ---- State
+
+bool UpstreamConnection::IsTransition(State from, State to) {
+  if (to == State::kClosed) return from != State::kClosed;
+  switch (from) {
+    case State::kConnecting:
+    case State::kIdle:
+      return to == State::kAwaitingSend;
+    case State::kAwaitingSend:
+      return to == State::kAwaitingReply;
+    case State::kAwaitingReply:
+      return to == State::kReadingReply || to == State::kDrainingReply;
+    case State::kReadingReply:
+      return to == State::kStreamingValue || to == State::kDrainingReply;
+    case State::kStreamingValue:
+      return to == State::kDrainingReply;
+    case State::kDrainingReply:
+      return to == State::kIdle;
+    case State::kClosed:
+      return false;
+  }
+  return false;
+}
+
+void UpstreamConnection::Transition(State to) {
+  assert(IsTransition(state_, to));
+  state_ = to;
+}
+
+bool UpstreamConnection::LeadsToCurrentProcess() const { return incarnation_ == upstream_.incarnation; }
+
+bool UpstreamConnection::IsUpstreamReady() const { return upstream_.state == UpstreamState::kReady; }
+
+void UpstreamConnection::Close(AttemptResult result) {
+  const State last_state = state_;
+  const bool was_reported = IsReported();
+  const std::unique_ptr<UpstreamConnection> self = owner_.Remove(*this);
+  Transition(State::kClosed);
+  if (last_state == State::kIdle) return;
+  if (!was_reported) {
+    UpstreamReply outcome;
+    outcome.result = result;
+    return Report(outcome);
+  }
+  owner_.RemoveAttempt(attempt_.key);
+  if (stream_.remaining() > 0) {
+    context_.listener.OnStreamFinished(attempt_.key.request, StreamEnd::kAborted);
+  }
+}
+
+void UpstreamConnection::CloseIfUnsent() {
+  if (IsUnsent()) Close(AttemptResult::kConnectFailed);
+}
+
+// The reply can't be used, and neither can the connection; the request has been executed.
+void UpstreamConnection::CloseMalformed() {
+  context_.malformed_log("upstream response is malformed", upstream_.name);
+  Close(AttemptResult::kReset);
+}
+
+void UpstreamConnection::Report(const UpstreamReply& outcome) {
+  const microseconds elapsed = attempt_.Elapsed();
+  if (attempt_.is_health_check()) {
+    return context_.listener.OnHealthCheckFinished(
+        {.upstream = upstream_.name, .result = outcome.result, .elapsed = elapsed, .load = outcome.load});
+  }
+  owner_.RemoveAttempt(attempt_.key);
+  context_.listener.OnAttemptFinished({.request = attempt_.key.request,
+                                       .attempt = attempt_.key.attempt,
+                                       .upstream = upstream_.name,
+                                       .result = outcome.result,
+                                       .elapsed = elapsed,
+                                       .load = outcome.load,
+                                       .use = outcome.use},
+                                      outcome.value);
+}
+
+// ---- Sending
+
+void UpstreamConnection::Begin(UpstreamAttempt attempt) {
+  bytes_needed_ = 0;
+  // The message stays in the attempt, not in the connection's buffer: from there it would be sent whatever
+  // has changed by then.
+  attempt_ = std::move(attempt);
+  if (state_ == State::kConnecting) {
+    const auto timeout = duration_cast<microseconds>(attempt_.deadline - attempt_.started_at);
+    return timer_.Arm(std::min(timeout, context_.connect_timeout));
+  }
+  Transition(State::kAwaitingSend);
+  SendIfAllowed();
+}
+
+// What was decided when the attempt started is checked again right before its first byte is sent, and again
+// with each retry while the socket takes nothing.
+void UpstreamConnection::SendIfAllowed() {
+  const auto now = Clock::now();
+  const std::optional<safety::Rule> rule =
+      attempt_.FindBrokenRule({.upstream_ready = IsUpstreamReady(),
+                               .connection_current = LeadsToCurrentProcess(),
+                               .way = delay_bound_,
+                               .begin_by = {},
+                               .deadline = {}},
+                              context_.listener, now);
+  if (rule) {
+    context_.listener.OnRulePrevented(*rule);
+    return Close(AttemptResult::kConnectFailed);
+  }
+  if (!StartWriting()) return timer_.Arm(kSendRetryInterval);
+  Transition(State::kAwaitingReply);
+  attempt_.message = {};
+  OnWritten();
+  timer_.Arm(duration_cast<microseconds>(attempt_.deadline - now));
+}
+
+// Returns whether the first byte has been sent.
+bool UpstreamConnection::StartWriting() {
+  if (attempt_.is_health_check()) return BeginWrite(connection_.get(), context_.health_check_command);
+  return attempt_.Write(connection_.get(), context_.write_buffer);
+}
+
+void UpstreamConnection::OnWritten() {
+  if (is_idle() || IsUnsent() || Unwritten(connection_.get()) > 0) return;
+  if (std::exchange(attempt_.is_fully_written, true)) return;
+  context_.listener.OnAttemptWritten();
+}
+
+// ---- Events of the connection
+
+void UpstreamConnection::OnEvent(short what) {
+  if ((what & BEV_EVENT_CONNECTED) != 0) return OnConnected();
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+  const bool is_connected = state_ != State::kConnecting;
+  if (is_connected && IsPassingError(what) && Watch(connection_.get())) return;
+  OnDisconnected();
+}
+
+void UpstreamConnection::OnConnected() {
+  Transition(State::kAwaitingSend);
+  const auto connect_time = duration_cast<microseconds>(Clock::now() - connect_started_at_);
+  delay_bound_ = std::min(connect_time, context_.connect_timeout);
+  SendIfAllowed();
+}
+
+void UpstreamConnection::OnDisconnected() {
+  if (is_idle()) return Close(AttemptResult::kReset);
+  if (IsReported()) {
+    is_upstream_closed_ = true;
+    const bool can_complete = stream_.remaining() > 0 && ReadSize(connection_.get()) >= stream_.remaining();
+    if (!can_complete) Close(AttemptResult::kReset);
+    return;
+  }
+  // Before its last byte has been sent the request can't have been executed; after that it may have been.
+  const bool never_ran = IsUnsent() || Unwritten(connection_.get()) > 0;
+  // What broke this connection has most likely broken the idle ones beside it: each would cost an attempt
+  // that then counts as one that may have been executed.
+  owner_.CloseIdleConnections(upstream_);
+  Close(never_ran ? AttemptResult::kConnectFailed : AttemptResult::kReset);
+}
+
+void UpstreamConnection::OnTimeout() {
+  switch (state_) {
+    case State::kIdle:
+    case State::kClosed:
+      return;
+    case State::kConnecting:
+      return Close(AttemptResult::kConnectFailed);
+    case State::kAwaitingSend:
+      return SendIfAllowed();
+    case State::kAwaitingReply: {
+      const bool never_ran = Unwritten(connection_.get()) > 0;
+      return Close(never_ran ? AttemptResult::kConnectFailed : AttemptResult::kTimedOut);
+    }
+    case State::kReadingReply:
+    case State::kStreamingValue:
+    case State::kDrainingReply:
+      return CloseMalformed();
+  }
+}
+
+void UpstreamConnection::OnReadable() {
+  if (is_idle() || IsUnsent()) {
+    context_.late_duplicates.Record(Clock::now());
+    return Close(is_idle() ? AttemptResult::kReset : AttemptResult::kConnectFailed);
+  }
+  if (state_ == State::kStreamingValue) return ForwardValue();
+  if (state_ == State::kDrainingReply) return DrainReply();
+  const auto now = Clock::now();
+  if (state_ == State::kReadingReply) {
+    context_.stall_timeout.RecordGap(duration_cast<microseconds>(now - last_read_at_));
+  }
+  last_read_at_ = now;
+  ReadReply();
+}
+
+// ---- Reading a reply
+
+std::string_view UpstreamConnection::PeekNeeded() const {
+  return bytes_needed_ > 1 ? Peek(connection_.get(), bytes_needed_) : PeekFirst(connection_.get());
+}
+
+void UpstreamConnection::ReadReply() {
+  resp::Reply reply;
+  for (;;) {
+    const std::size_t available = ReadSize(connection_.get());
+    if (available < std::max<std::size_t>(1, bytes_needed_)) return ArmStallTimer();
+    const std::string_view bytes = PeekNeeded();
+    const resp::Progress progress = resp::ParseReply(bytes, reply);
+    if (progress == resp::Progress::kBroken) return CloseMalformed();
+    if (progress == resp::Progress::kWhole) return OnReply(reply);
+    const bool is_first = bytes_needed_ == 0;
+    bytes_needed_ = reply.need;
+    if (!OnPartialReply(bytes)) return;
+    if (is_first) ArmStallTimer();
+  }
+}
+
+// Returns whether the reply is to be read on as a whole; else it is streamed, or this is closed.
+bool UpstreamConnection::OnPartialReply(std::string_view bytes) {
+  if (state_ == State::kAwaitingReply) Transition(State::kReadingReply);
+  resp::LargeValue large;
+  if (!attempt_.is_health_check() && resp::BeginsLarge(bytes, large) && BeginStream(large)) return false;
+  if (bytes_needed_ > kReadAheadBytes) {
+    bufferevent_setwatermark(connection_.get(), EV_READ, 0, bytes_needed_);
+  }
+  return true;
+}
+
+// A reply that stalls halfway does not go on, and the attempt's own timeout would leave no time for a retry.
+void UpstreamConnection::ArmStallTimer() {
+  if (state_ != State::kReadingReply) return;
+  const auto time_left = duration_cast<microseconds>(attempt_.deadline - Clock::now());
+  const bool is_large = bytes_needed_ > kReadAheadBytes;
+  const microseconds stall = is_large ? microseconds(kValueStallTimeout) : context_.stall_timeout.value();
+  timer_.Arm(std::min(time_left, stall));
+}
+
+void UpstreamConnection::OnReply(const resp::Reply& reply) {
+  const std::optional<UpstreamReply> outcome = DecodeReply(reply, attempt_.kind);
+  if (!outcome) return CloseMalformed();
+  timer_.Disarm();
+  // The value is a slice of what was read: that is consumed, and the connection free, after the report only.
+  Transition(State::kDrainingReply);
+  Report(*outcome);
+  Release(reply.size);
+}
+
+// The reply has been read: the connection takes another attempt.
+void UpstreamConnection::Release(std::size_t reply_size) {
+  Consume(connection_.get(), reply_size);
+  if (bytes_needed_ > kReadAheadBytes) {
+    bufferevent_setwatermark(connection_.get(), EV_READ, 0, kReadAheadBytes);
+  }
+  Transition(State::kIdle);
+  idle_since_ = Clock::now();
+  const bool has_duplicate = ReadSize(connection_.get()) > 0;
+  if (has_duplicate) context_.late_duplicates.Record(Clock::now());
+  if (has_duplicate || !IsUpstreamReady() || !LeadsToCurrentProcess()) Close(AttemptResult::kReset);
+}
+
+// ---- Streaming a large value
+
+// Returns whether the value is streamed, or this is closed; else it is to be read as a whole.
+bool UpstreamConnection::BeginStream(const resp::LargeValue& large) {
+  const auto wanted = context_.listener.OnLargeValue({.request = attempt_.key.request,
+                                                      .attempt = attempt_.key.attempt,
+                                                      .upstream = upstream_.name,
+                                                      .result = AttemptResult::kSucceeded,
+                                                      .elapsed = attempt_.Elapsed()});
+  if (wanted == AttemptListener::Value::kWhole) return false;
+  if (wanted == AttemptListener::Value::kNone) {
+    Close(AttemptResult::kCancelled);
+    return true;
+  }
+  SetKernelBytes(connection_.get(), SO_RCVBUF, kStreamKernelBytes);
+  Consume(connection_.get(), large.at);
+  stream_.Begin(large);
+  Transition(State::kStreamingValue);
+  ForwardValue();
+  return true;
+}
+
+void UpstreamConnection::ForwardValue() {
+  switch (stream_.Forward(connection_.get(), attempt_.key.request, context_.listener)) {
+    case ValueStream::Progress::kNeedsInput:
+      return timer_.Arm(kValueStallTimeout);
+    case ValueStream::Progress::kClientFull:
+      // The upstream is not read from meanwhile, and no timeout runs for it.
+      is_stream_paused_ = true;
+      bufferevent_disable(connection_.get(), EV_READ);
+      return timer_.Disarm();
+    case ValueStream::Progress::kMalformed:
+      return CloseMalformed();
+    case ValueStream::Progress::kComplete:
+      return OnValueForwarded();
+  }
+}
+
+void UpstreamConnection::Resume() {
+  if (state_ != State::kStreamingValue || !std::exchange(is_stream_paused_, false)) return;
+  bufferevent_enable(connection_.get(), EV_READ);
+  ForwardValue();
+}
+
+void UpstreamConnection::OnValueForwarded() {
+  Transition(State::kDrainingReply);
+  owner_.RemoveAttempt(attempt_.key);
+  context_.listener.OnStreamFinished(attempt_.key.request, StreamEnd::kComplete);
+  bytes_needed_ = 0;
+  if (is_upstream_closed_) return Close(AttemptResult::kReset);
+  timer_.Arm(StallTimeout::kMin);
+  DrainReply();
+}
+
+// Reads what follows a streamed value in its reply, so that the connection can be reused.
+void UpstreamConnection::DrainReply() {
+  resp::Reply reply;
+  for (;;) {
+    if (ReadSize(connection_.get()) < bytes_needed_) return;
+    const resp::Progress progress = resp::ParseParts(PeekNeeded(), stream_.trailing_parts(), reply);
+    if (progress == resp::Progress::kBroken) return CloseMalformed();
+    if (progress == resp::Progress::kWhole) break;
+    bytes_needed_ = reply.need;
+  }
+  timer_.Disarm();
+  Release(reply.size);
+}
+
+}  // namespace postspread::net
