--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -147,7 +147,7 @@
 
 bool GatewayServer::CanServe() const {
   // An outage of the counter or of discovery must not keep a gateway that has upstreams from starting.
-  const bool connected = (counters_.empty() || counters_.back().up()) && discovery_->heard();
+  const bool connected = (counters_.empty() || counters_.back().up()) && discovery_->has_list();
   return ready_upstreams_ > 0 && (connected || settled_);
 }
 
@@ -537,10 +537,10 @@
   // After a change of address: answers must come in the order of a name's calls, so a name that still waits
   // on the old connection is asked for there; and the old one serves on until the new one is up.
   for (CounterClient& counter : counters_) {
-    if (counter.Awaits(action.name)) return counter.Ask(std::move(action));
+    if (counter.Awaits(action.name)) return counter.Call(std::move(action));
   }
   const auto up = std::find_if(counters_.rbegin(), counters_.rend(), [](const auto& c) { return c.up(); });
-  (up == counters_.rend() ? counters_.back() : *up).Ask(std::move(action));
+  (up == counters_.rend() ? counters_.back() : *up).Call(std::move(action));
 }
 
 void GatewayServer::Execute(planner::StartHealthCheck& action) { pool_.StartHealthCheck(action.upstream); }
--- a/src/net/upstream/counter_client.cpp
+++ b/src/net/upstream/counter_client.cpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <charconv>
 #include <cmath>
+#include <optional>
 #include <utility>
 
 namespace postspread::net {
@@ -14,17 +15,41 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUpkeep{100};
-constexpr milliseconds kRedial{200};       // between two tries to connect
-constexpr milliseconds kSilence{1'000};    // without a word on what was asked: the connection counts as dead
-constexpr milliseconds kKeepInUse{2'000};  // the counter closes what stands idle for some 10 s
-constexpr std::size_t kMaxAnswer = 64;  // bytes of an answer that is still to come: a number, or a short line
-constexpr std::size_t kMaxCalls = 4096;  // unanswered calls that are kept
-constexpr std::int64_t kMaxLifeMs = 60'000;
+constexpr milliseconds kMaintenanceInterval{100};
+constexpr milliseconds kReconnectInterval{200};
+// Without a reply for so long the connection counts as dead: TCP does not notice a counter that vanished.
+constexpr milliseconds kSilenceTimeout{1'000};
+// The counter closes a connection that was idle for some 10 s.
+constexpr milliseconds kKeepAliveInterval{2'000};
+constexpr std::size_t kMaxReplyRemainder = 64;  // bytes of a partial reply: a number, or a short line
+constexpr std::size_t kMaxPendingCalls = 4096;
+constexpr std::int64_t kMaxTtlMs = 60'000;
+
+std::optional<double> ToTotal(const resp::Reply& reply) {
+  using Kind = resp::Reply::Kind;
+  if (reply.kind != Kind::kBulk && reply.kind != Kind::kInteger) return std::nullopt;
+  const char* end = reply.text.data() + reply.text.size();
+  double total = 0;
+  const auto [parsed_to, error] = std::from_chars(reply.text.data(), end, total);
+  if (error != std::errc() || parsed_to != end || reply.text.empty()) return std::nullopt;
+  return std::isfinite(total) ? std::optional(total) : std::nullopt;
+}
 
-bool ToNumber(std::string_view text, double& out) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
-  return error == std::errc() && end == text.data() + text.size() && !text.empty();
+bool IsRejection(const resp::Reply& reply) {
+  const std::string_view code = reply.text.substr(0, reply.text.find(' '));
+  return reply.kind == resp::Reply::Kind::kError && (code == "BUSY" || code == "ERR");
+}
+
+void AppendCall(const planner::CallCounter& call, std::string& out) {
+  // The counter reads decimal numbers only, so no exponent; the shortest form that gives the same number.
+  std::array<char, 400> amount;
+  const auto amount_end =
+      std::to_chars(amount.data(), amount.data() + amount.size(), call.amount, std::chars_format::fixed).ptr;
+  const std::int64_t ttl_ms =
+      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(call.ttl).count(), 1, kMaxTtlMs);
+  std::array<char, 24> ttl;
+  const auto ttl_end = std::to_chars(ttl.data(), ttl.data() + ttl.size(), ttl_ms).ptr;
+  resp::AppendCommand({"CNT.ADD", call.name, {amount.data(), amount_end}, {ttl.data(), ttl_end}}, out);
 }
 
 }  // namespace
@@ -36,170 +61,182 @@
       timeout_(timeout),
       dial_timeout_(dial_timeout),
       listener_(listener),
-      timer_(base, [this] { OnTimer(); }),
-      upkeep_(base, [this] { Upkeep(); }) {
-  Dial();
-  upkeep_.Arm(kUpkeep);
-}
-
-void CounterClient::Dial() {
-  dialled_ = used_ = Clock::now();
-  up_ = false;
-  appended_ = 0;
-  need_ = 0;
-  connection_ = net::Dial(
-      base_, address_, [](bufferevent*, void* self) { static_cast<CounterClient*>(self)->Read(); }, nullptr,
-      [](bufferevent*, short what, void* self) { static_cast<CounterClient*>(self)->Event(what); }, this);
+      timeout_timer_(base, [this] { OnTimeout(); }),
+      maintenance_(base, [this] { RunMaintenance(); }) {
+  Connect();
+  maintenance_.Arm(kMaintenanceInterval);
+}
+
+// ---- Connection
+
+void CounterClient::Connect() {
+  connect_started_at_ = Clock::now();
+  last_used_at_ = connect_started_at_;
+  is_up_ = false;
+  sent_bytes_ = 0;
+  bytes_needed_ = 0;
+  connection_ = Dial(
+      base_, address_, [](bufferevent*, void* self) { static_cast<CounterClient*>(self)->OnReadable(); },
+      nullptr, [](bufferevent*, short what, void* self) { static_cast<CounterClient*>(self)->OnEvent(what); },
+      this);
   if (connection_) bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
 }
 
-void CounterClient::Ask(planner::CallCounter ask) {
-  // A call is not kept for a connection that is still to come: told as not added, it must not be added later.
-  if (!up_ || calls_.size() >= kMaxCalls) {
-    return listener_.OnCounterReply({std::move(ask.name), CounterResult::kUnreachable, 0, microseconds(0)});
+void CounterClient::OnEvent(short what) {
+  if ((what & BEV_EVENT_CONNECTED) != 0) {
+    is_up_ = true;
+    if (!std::exchange(was_up_, true)) recovered_log_("counter connection is up again");
+    return;
   }
-  // The counter reads decimal numbers only, so no exponent; the shortest form that gives the same number.
-  std::array<char, 400> amount;
-  const auto amount_end =
-      std::to_chars(amount.data(), amount.data() + amount.size(), ask.amount, std::chars_format::fixed).ptr;
-  const std::int64_t life_ms =
-      std::clamp<std::int64_t>(std::chrono::ceil<milliseconds>(ask.ttl).count(), 1, kMaxLifeMs);
-  std::array<char, 24> incarnation;
-  const auto life_end =
-      std::to_chars(incarnation.data(), incarnation.data() + incarnation.size(), life_ms).ptr;
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+  if (is_up_ && IsPassingError(what)) {
+    Watch(connection_.get());  // where this fails, the next maintenance tries again
+    return;
+  }
+  OnConnectionLost(is_up_ ? "closed by the counter" : "connect failed");
+}
+
+// Ends every pending call: one that had not been sent was not added, the others may have been.
+void CounterClient::OnConnectionLost(std::string_view reason) {
+  const std::uint64_t written_bytes = is_up_ ? sent_bytes_ - Unwritten(connection_.get()) : 0;
+  connection_.reset();
+  is_up_ = false;
+  timeout_timer_.Disarm();
+  if (std::exchange(was_up_, false) && !is_retired_) lost_log_("counter connection is lost", reason);
+  std::deque<PendingCall> calls = std::exchange(calls_, {});
+  reported_calls_ = 0;
+  // At once where the counter has replied: a malformed reply now and then must not cost many calls.
+  if (std::exchange(has_replied_, false) && !is_retired_) Connect();
+  for (PendingCall& call : calls) {
+    const bool was_written = call.end_offset <= written_bytes;
+    Report(call, was_written ? CounterResult::kTimedOut : CounterResult::kUnreachable);
+  }
+}
+
+void CounterClient::RunMaintenance() {
+  maintenance_.Arm(kMaintenanceInterval);
+  // No more than a check where the socket is watched; where the system refused that, it is asked again.
+  if (connection_ && is_up_) Watch(connection_.get());
+  CheckConnection();
+}
+
+void CounterClient::CheckConnection() {
+  const auto now = Clock::now();
+  if (!connection_) {
+    if (now - connect_started_at_ >= kReconnectInterval && !is_retired_) Connect();
+    return;
+  }
+  if (!is_up_) {
+    if (now - connect_started_at_ >= dial_timeout_) OnConnectionLost("connect timeout");
+    return;
+  }
+  if (!calls_.empty() && now - calls_.front().started_at >= kSilenceTimeout) {
+    return OnConnectionLost("reply timeout");
+  }
+  if (calls_.empty() && now - last_used_at_ >= kKeepAliveInterval) SendKeepAlive();
+}
+
+// ---- Calls
+
+void CounterClient::Call(planner::CallCounter call) {
+  if (!is_up_ || calls_.size() >= kMaxPendingCalls) {
+    return listener_.OnCounterReply({std::move(call.name), CounterResult::kUnreachable, 0, microseconds(0)});
+  }
+  message_.clear();
+  AppendCall(call, message_);
+  Send(message_, std::move(call.name));
+  const bool is_only_one = calls_.size() - reported_calls_ == 1;
+  if (is_only_one) ArmTimeout();
+}
+
+void CounterClient::SendKeepAlive() {
   message_.clear();
-  resp::AppendCommand({"CNT.ADD", ask.name, {amount.data(), amount_end}, {incarnation.data(), life_end}},
-                      message_);
-  Send(message_, std::move(ask.name));
-  if (calls_.size() - reported_ == 1) ArmTimer();
+  resp::AppendCommand({"PING"}, message_);
+  Send(message_, {});
 }
 
 void CounterClient::Send(std::string_view message, std::string name) {
-  appended_ += message.size();
-  used_ = Clock::now();
-  const bool is_ping = name.empty();
-  calls_.push_back({.name = std::move(name), .begun = used_, .end = appended_, .is_ping = is_ping});
+  sent_bytes_ += message.size();
+  last_used_at_ = Clock::now();
+  const bool is_keep_alive = name.empty();
+  calls_.push_back({.name = std::move(name),
+                    .started_at = last_used_at_,
+                    .end_offset = sent_bytes_,
+                    .is_keep_alive = is_keep_alive});
   Write(connection_.get(), message);
 }
 
 bool CounterClient::Awaits(std::string_view name) const {
   return std::any_of(calls_.begin(), calls_.end(),
-                     [name](const Call& call) { return !call.reported && call.name == name; });
+                     [name](const PendingCall& call) { return !call.is_reported && call.name == name; });
 }
 
-void CounterClient::Event(short what) {
-  if ((what & BEV_EVENT_CONNECTED) != 0) {
-    up_ = true;
-    if (!std::exchange(was_up_, true)) again_("counter connection is up again");
-  } else if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
-    if (up_ && IsPassingError(what)) {
-      Watch(connection_.get());  // or at the next upkeep
-      return;
-    }
-    Lost(up_ ? "closed by the counter" : "refused");
+// Calls that time out are reported; their slots stay, so that later replies still find theirs.
+void CounterClient::OnTimeout() {
+  const auto now = Clock::now();
+  while (reported_calls_ < calls_.size() && calls_[reported_calls_].started_at + timeout_ <= now) {
+    PendingCall& call = calls_[reported_calls_];
+    ++reported_calls_;
+    Report(call, CounterResult::kTimedOut);
   }
+  ArmTimeout();
 }
 
-// Every unanswered call ends: what had not left was not added, the rest may have been.
-void CounterClient::Lost(std::string_view why) {
-  const std::uint64_t written = up_ ? appended_ - Unwritten(connection_.get()) : 0;
-  connection_.reset();
-  up_ = false;
-  timer_.Disarm();
-  if (std::exchange(was_up_, false) && !retired_) lost_("counter connection is lost", why);
-  std::deque<Call> calls = std::exchange(calls_, {});
-  reported_ = 0;
-  // At once where it has served: an unreadable answer now and then must not leave calls without a counter.
-  if (std::exchange(has_answered_, false) && !retired_) Dial();
-  for (Call& call : calls) {
-    Report(call, call.end <= written ? CounterResult::kTimedOut : CounterResult::kUnreachable);
-  }
+void CounterClient::ArmTimeout() {
+  if (reported_calls_ >= calls_.size()) return;
+  const auto deadline = calls_[reported_calls_].started_at + timeout_;
+  timeout_timer_.Arm(std::chrono::ceil<microseconds>(deadline - Clock::now()));
+}
+
+void CounterClient::Report(PendingCall& call, CounterResult result, double total) {
+  if (std::exchange(call.is_reported, true) || call.is_keep_alive) return;
+  const auto elapsed = duration_cast<microseconds>(Clock::now() - call.started_at);
+  listener_.OnCounterReply({std::move(call.name), result, total, elapsed});
 }
 
-void CounterClient::Read() {
+// ---- Replies
+
+void CounterClient::OnReadable() {
   resp::Reply reply;
   while (connection_) {
-    const std::size_t size = ReadSize(connection_.get());
-    if (size < std::max<std::size_t>(1, need_)) return;
-    const std::string_view bytes = need_ > 1 ? Peek(connection_.get(), need_) : PeekFirst(connection_.get());
+    const std::size_t available = ReadSize(connection_.get());
+    if (available < std::max<std::size_t>(1, bytes_needed_)) return;
+    const std::string_view bytes =
+        bytes_needed_ > 1 ? Peek(connection_.get(), bytes_needed_) : PeekFirst(connection_.get());
     const resp::Progress progress = resp::ParseReply(bytes, reply);
     if (progress == resp::Progress::kPartial) {
-      // No answer of the counter is an array or so long: what says it is can't be read. Waiting for the rest
-      // would fail every call behind it until the silence is noticed.
-      if (bytes.front() == '*' || reply.need > kMaxAnswer) return Lost("malformed answer");
-      need_ = reply.need;
+      // No reply of the counter is an array or that long. Waiting for the rest of what claims to be one would
+      // fail every call behind it until the silence timeout.
+      if (bytes.front() == '*' || reply.need > kMaxReplyRemainder) return OnConnectionLost("malformed reply");
+      bytes_needed_ = reply.need;
       continue;
     }
-    need_ = 0;
-    if (progress == resp::Progress::kBroken || calls_.empty()) return Lost("malformed answer");
-    Take(reply);
+    bytes_needed_ = 0;
+    if (progress == resp::Progress::kBroken || calls_.empty()) return OnConnectionLost("malformed reply");
+    OnReply(reply);
   }
 }
 
-void CounterClient::Take(const resp::Reply& reply) {
-  using Kind = resp::Reply::Kind;
+void CounterClient::OnReply(const resp::Reply& reply) {
   CounterResult result = CounterResult::kAdded;
-  double total = 0;
-  const std::string_view update = reply.text.substr(0, reply.text.find(' '));
-  if (reply.kind == Kind::kError && (update == "BUSY" || update == "ERR")) {
+  std::optional<double> total;
+  if (IsRejection(reply)) {
     result = CounterResult::kRejected;
-  } else if (calls_.front().is_ping) {
-    if (reply.kind != Kind::kSimple) return Lost("malformed answer");
-  } else if ((reply.kind != Kind::kBulk && reply.kind != Kind::kInteger) || !ToNumber(reply.text, total) ||
-             !std::isfinite(total)) {
-    // No total to be read: the amount was added, and nothing more comes on this connection. Kept in use, it
-    // was a second of calls without an answer, and some more in which hardly any were made.
-    return Lost("malformed answer");
+  } else if (calls_.front().is_keep_alive) {
+    if (reply.kind != resp::Reply::Kind::kSimple) return OnConnectionLost("malformed reply");
+  } else {
+    // Without a total: the amount was added, and no further reply can be trusted. Kept open, the connection
+    // would fail its calls until the silence timeout.
+    total = ToTotal(reply);
+    if (!total) return OnConnectionLost("malformed reply");
   }
-  Call call = std::move(calls_.front());
+  PendingCall call = std::move(calls_.front());
   calls_.pop_front();
-  if (reported_ > 0) --reported_;
-  used_ = Clock::now();
-  has_answered_ = true;
+  if (reported_calls_ > 0) --reported_calls_;
+  last_used_at_ = Clock::now();
+  has_replied_ = true;
   Consume(connection_.get(), reply.size);
-  Report(call, result, total);
-}
-
-void CounterClient::Report(Call& call, CounterResult result, double total) {
-  if (std::exchange(call.reported, true) || call.is_ping) return;
-  const auto elapsed = duration_cast<microseconds>(Clock::now() - call.begun);
-  listener_.OnCounterReply({std::move(call.name), result, total, elapsed});
-}
-
-// Calls whose time is up are reported; their slots stay, so that later answers still find theirs.
-void CounterClient::OnTimer() {
-  const auto now = Clock::now();
-  while (reported_ < calls_.size() && calls_[reported_].begun + timeout_ <= now) {
-    Report(calls_[reported_++], CounterResult::kTimedOut);
-  }
-  ArmTimer();
-}
-
-void CounterClient::ArmTimer() {
-  if (reported_ >= calls_.size()) return;
-  timer_.Arm(std::chrono::ceil<microseconds>(calls_[reported_].begun + timeout_ - Clock::now()));
-}
-
-void CounterClient::Upkeep() {
-  upkeep_.Arm(kUpkeep);
-  const auto now = Clock::now();
-  // Nothing where it is watched; where the system has refused that, it is asked again.
-  if (connection_ && up_) Watch(connection_.get());
-  if (!connection_) {
-    if (now - dialled_ >= kRedial && !retired_) Dial();
-    return;
-  }
-  if (!up_) {
-    if (now - dialled_ >= dial_timeout_) Lost("no connection in time");
-    return;
-  }
-  // A counter that vanished says nothing and TCP does not notice: what it was asked stays unanswered.
-  if (!calls_.empty() && now - calls_.front().begun >= kSilence) return Lost("silent");
-  if (calls_.empty() && now - used_ >= kKeepInUse) {
-    message_.clear();
-    resp::AppendCommand({"PING"}, message_);
-    Send(message_, {});
-  }
+  Report(call, result, total.value_or(0));
 }
 
 }  // namespace postspread::net
--- a/src/net/upstream/counter_client.h
+++ b/src/net/upstream/counter_client.h
@@ -1,8 +1,9 @@
-// The shared counter: one connection, calls written one behind another, answers matched in order.
+// Client of the shared counter: one connection, calls pipelined on it, replies matched in order.
 #ifndef POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
 #define POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
 
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <string>
@@ -17,7 +18,7 @@
 
 class CounterListener {
  public:
-  // Told once for each call, in the order of the calls of a name; possibly from within Ask.
+  // Called once for each call, for one name in the order of its calls; possibly from within Call.
   virtual void OnCounterReply(planner::CounterReport report) = 0;
 
  protected:
@@ -26,61 +27,69 @@
 
 class CounterClient {
  public:
+  // Connects at once, and again whenever the connection is lost. A call ends within `timeout`. The listener
+  // outlives this.
   CounterClient(event_base* base, config::Address address, std::chrono::microseconds timeout,
                 std::chrono::microseconds dial_timeout, CounterListener& listener);
   CounterClient(const CounterClient&) = delete;
   CounterClient& operator=(const CounterClient&) = delete;
 
-  void Ask(planner::CallCounter ask);
-  [[nodiscard]] bool up() const { return up_; }
+  // Sends the call, or reports it as kUnreachable where there is no connection: a call that is reported as
+  // not added must not be added later, so none waits for a connection.
+  void Call(planner::CallCounter call);
+
+  [[nodiscard]] bool up() const { return is_up_; }
   [[nodiscard]] const config::Address& address() const { return address_; }
 
-  // Another address has taken this one's place: a connection that is lost is not dialled again.
-  void Retire() { retired_ = true; }
-  // Whether a call on `name`, or any call, is still to be reported.
+  // Another address has replaced this one: a connection that is lost is not opened again.
+  void Retire() { is_retired_ = true; }
+  // Whether a call of `name`, or any call, is still to be reported.
   [[nodiscard]] bool Awaits(std::string_view name) const;
-  [[nodiscard]] bool AwaitsAny() const { return reported_ < calls_.size(); }
+  [[nodiscard]] bool AwaitsAny() const { return reported_calls_ < calls_.size(); }
 
  private:
-  struct Call {
-    std::string name;  // empty: a PING that keeps the connection in use; or reported
-    Clock::time_point begun;
-    std::uint64_t end = 0;  // bytes written on this connection up to its end
-    bool is_ping = false;
-    bool reported = false;  // its time was up; the slot waits for the late answer
+  struct PendingCall {
+    std::string name;  // of the counter; empty for a keep-alive, or once reported
+    Clock::time_point started_at;
+    std::uint64_t end_offset = 0;  // bytes handed to this connection up to the end of the call
+    bool is_keep_alive = false;
+    bool is_reported = false;  // timed out; the slot waits for the late reply
   };
 
-  void Dial();
-  void Lost(std::string_view why);
-  void Event(short what);
-  void Read();
-  void Take(const resp::Reply& reply);
+  void Connect();
+  void OnEvent(short what);
+  void OnReadable();
+  void OnReply(const resp::Reply& reply);
+  void OnTimeout();
+  void OnConnectionLost(std::string_view reason);
   void Send(std::string_view message, std::string name);
-  void Report(Call& call, planner::CounterResult result, double total = 0);
-  void OnTimer();
-  void ArmTimer();
-  void Upkeep();
+  void SendKeepAlive();
+  void Report(PendingCall& call, planner::CounterResult result, double total = 0);
+  void ArmTimeout();
+  void RunMaintenance();
+  void CheckConnection();
 
   event_base* base_;
   config::Address address_;
-  std::chrono::microseconds timeout_;
-  std::chrono::microseconds dial_timeout_;
+  const std::chrono::microseconds timeout_;
+  const std::chrono::microseconds dial_timeout_;
   CounterListener& listener_;
   BufferEvent connection_;
-  bool up_ = false;
-  bool has_answered_ = false;  // this connection
-  bool was_up_ = true;         // so that only changes are logged
-  bool retired_ = false;
-  RareLog lost_, again_;
-  Clock::time_point dialled_;
-  Clock::time_point used_;
-  std::uint64_t appended_ = 0;  // bytes handed to this connection
-  std::size_t need_ = 0;
-  std::deque<Call> calls_;    // unanswered, in order
-  std::size_t reported_ = 0;  // of calls_ from the front: those whose time was up
-  std::string message_;
-  Timer timer_;
-  Timer upkeep_;
+  bool is_up_ = false;
+  bool has_replied_ = false;  // on this connection
+  bool was_up_ = true;        // so that only changes are logged
+  bool is_retired_ = false;
+  RareLog lost_log_;
+  RareLog recovered_log_;
+  Clock::time_point connect_started_at_;
+  Clock::time_point last_used_at_;
+  std::uint64_t sent_bytes_ = 0;    // handed to this connection
+  std::size_t bytes_needed_ = 0;    // for the next step of parsing; 0: unknown
+  std::deque<PendingCall> calls_;   // without a reply, in order
+  std::size_t reported_calls_ = 0;  // of calls_, from the front: those that timed out
+  std::string message_;             // scratch space
+  Timer timeout_timer_;
+  Timer maintenance_;
 };
 
 }  // namespace postspread::net
--- a/src/net/upstream/discovery_watch.cpp
+++ b/src/net/upstream/discovery_watch.cpp
@@ -8,98 +8,125 @@
 #include "net/log.h"
 
 namespace postspread::net {
+namespace {
+
+constexpr int kStatusOk = 200;
+
+// Throws json_read::JsonError.
+config::EndpointList Decode(std::string_view text) {
+  const auto body = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
+  if (body.is_discarded()) throw json_read::JsonError("not valid JSON");
+  return config::DecodeEndpointList(body);
+}
+
+}  // namespace
+
 DiscoveryWatch::DiscoveryWatch(event_base* base, config::Address address,
                                std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed,
                                EndpointListCallback on_endpoint_list)
     : base_(base),
       address_(std::move(address)),
       on_endpoint_list_(std::move(on_endpoint_list)),
-      times_(dial_timeout, group_size, seed),
-      timer_(base, [this] { connection_ ? Lost("no answer in time") : Dial(); }) {
-  Dial();
-}
-
-void DiscoveryWatch::Dial() {
-  parser_.Reset();
-  connection_ = net::Dial(
-      base_, address_, [](bufferevent*, void* self) { static_cast<DiscoveryWatch*>(self)->Read(); }, nullptr,
-      [](bufferevent*, short what, void* self) { static_cast<DiscoveryWatch*>(self)->Event(what); }, this);
-  if (!connection_) return Lost("no connection");
-  bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
-  timer_.Arm(times_.Dial());
+      schedule_(dial_timeout, group_size, seed),
+      timer_(base, [this] { OnTimer(); }) {
+  Connect();
 }
 
 void DiscoveryWatch::MoveTo(config::Address address) {
   address_ = std::move(address);
-  has_index_ = false;
+  index_.reset();
   connection_.reset();
-  Dial();
+  Connect();
 }
 
-void DiscoveryWatch::Ask() {
-  std::string target = "/api/targets";
-  if (has_index_) {
-    target += "?since=" + std::to_string(index_) + "&timeout_ms=" + std::to_string(times_.Wait().count());
-  }
-  Write(connection_.get(), http::GetRequest(address_.text(), target));
-  timer_.Arm((has_index_ ? times_.Wait() : std::chrono::milliseconds(0)) + times_.kOverdue);
+// ---- Connection
+
+void DiscoveryWatch::Connect() {
+  parser_.Reset();
+  connection_ = Dial(
+      base_, address_, [](bufferevent*, void* self) { static_cast<DiscoveryWatch*>(self)->OnReadable(); },
+      nullptr,
+      [](bufferevent*, short what, void* self) { static_cast<DiscoveryWatch*>(self)->OnEvent(what); }, this);
+  if (!connection_) return OnFailure("connect failed");
+  bufferevent_enable(connection_.get(), EV_READ | EV_WRITE);
+  timer_.Arm(schedule_.Dial());
 }
 
-void DiscoveryWatch::Event(short what) {
-  if ((what & BEV_EVENT_CONNECTED) != 0) return Ask();
+void DiscoveryWatch::OnTimer() {
+  if (connection_) return OnFailure("response timeout");
+  Connect();
+}
+
+void DiscoveryWatch::OnEvent(short what) {
+  if ((what & BEV_EVENT_CONNECTED) != 0) return Poll();
   if (IsPassingError(what) && Watch(connection_.get())) return;
   if ((what & BEV_EVENT_EOF) != 0) {
     parser_.End();
-    if (parser_.done()) return Answered();
+    if (parser_.done()) return OnResponse();
   }
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) Lost("connection lost");
+  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) OnFailure("connection lost");
+}
+
+void DiscoveryWatch::OnFailure(std::string_view reason) {
+  connection_.reset();
+  if (!std::exchange(is_failing_, true)) Log("discovery request failed", reason);
+  timer_.Arm(schedule_.Lost());
 }
 
-void DiscoveryWatch::Read() {
+// ---- Requests and responses
+
+void DiscoveryWatch::Poll() {
+  std::string target = "/api/targets";
+  std::chrono::milliseconds wait{0};
+  if (index_) {
+    wait = schedule_.Wait();
+    target += "?since=" + std::to_string(*index_) + "&timeout_ms=" + std::to_string(wait.count());
+  }
+  Write(connection_.get(), http::GetRequest(address_.text(), target));
+  timer_.Arm(wait + schedule_.kOverdue);
+}
+
+void DiscoveryWatch::OnReadable() {
   while (ReadSize(connection_.get()) > 0) {
     Consume(connection_.get(), parser_.Feed(PeekFirst(connection_.get())));
-    if (parser_.broken()) return Lost("malformed answer");
-    if (parser_.done()) return Answered();
+    if (parser_.broken()) return OnFailure("malformed response");
+    if (parser_.done()) return OnResponse();
   }
 }
 
-void DiscoveryWatch::Answered() {
-  if (parser_.status() != 200) {
-    Lost("status " + std::to_string(parser_.status()));
-    return timer_.Arm(times_.Refused());
+void DiscoveryWatch::OnResponse() {
+  if (parser_.status() != kStatusOk) {
+    OnFailure("status " + std::to_string(parser_.status()));
+    return timer_.Arm(schedule_.Refused());
   }
   config::EndpointList endpoint_list;
   try {
-    const auto body = nlohmann::json::parse(parser_.body(), nullptr, /*allow_exceptions=*/false);
-    if (body.is_discarded()) throw json_read::JsonError("not valid JSON");
-    endpoint_list = config::DecodeEndpointList(body);
+    endpoint_list = Decode(parser_.body());
   } catch (const json_read::JsonError& error) {
-    return Lost(error.what());
-  }
-  if (std::exchange(failing_, false)) Log("discovery answers again");
-  times_.Answered();
-  // A list whose number goes back is another's: what it says has changed says nothing of what was held.
-  const bool anew = has_index_ && !endpoint_list.full && endpoint_list.index < index_;
-  heard_ = true;
-  has_index_ = !anew;
-  index_ = endpoint_list.index;
-  // The next call goes out first: the watch goes on only if it comes at once.
-  const bool closes = parser_.closes() || ReadSize(connection_.get()) > 0;
-  parser_.Reset();
-  if (closes) {
-    connection_.reset();
-    Dial();
-  } else {
-    Ask();
+    return OnFailure(error.what());
   }
-  if (!anew && (endpoint_list.full || !endpoint_list.entries.empty()))
-    on_endpoint_list_(std::move(endpoint_list));
+  if (std::exchange(is_failing_, false)) Log("discovery recovered");
+  schedule_.Answered();
+  OnEndpointList(std::move(endpoint_list));
 }
 
-void DiscoveryWatch::Lost(std::string_view why) {
+void DiscoveryWatch::OnEndpointList(config::EndpointList endpoint_list) {
+  // Changes under an index that goes back are relative to a list that was never seen here.
+  const bool is_unrelated = index_ && !endpoint_list.full && endpoint_list.index < *index_;
+  has_list_ = true;
+  index_ = is_unrelated ? std::nullopt : std::optional(endpoint_list.index);
+  // The next request goes out before the list is applied: discovery keeps a watch only if it comes at once.
+  PollAgain();
+  const bool has_entries = endpoint_list.full || !endpoint_list.entries.empty();
+  if (!is_unrelated && has_entries) on_endpoint_list_(std::move(endpoint_list));
+}
+
+void DiscoveryWatch::PollAgain() {
+  const bool is_reusable = !parser_.closes() && ReadSize(connection_.get()) == 0;
+  parser_.Reset();
+  if (is_reusable) return Poll();
   connection_.reset();
-  if (!std::exchange(failing_, true)) Log("discovery does not answer", why);
-  timer_.Arm(times_.Lost());
+  Connect();
 }
 
 }  // namespace postspread::net
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -5,43 +5,43 @@
 namespace postspread::planner {
 namespace {
 
-// A list may come so long after what it tells. A start that looks older than that before the last list is
-// told by a clock that is not ours.
-constexpr std::chrono::seconds kLateList{10};
+// How late a list may arrive. A start that seems to be older than this before the last list was reported by a
+// clock that differs from ours.
+constexpr std::chrono::seconds kMaxListDelay{10};
 
 }  // namespace
 
 void StartTimes::Apply(EndpointListReport& report, Time now) {
   if (report.kind != EndpointUpdateKind::kChanges) {
-    for (auto& [name, start] : starts_) start.listed = false;
+    for (auto& [name, start] : starts_) start.is_listed = false;
   }
   for (Upstream& upstream : report.upstreams) {
     const auto [found, is_new] = starts_.try_emplace(upstream.name);
     Start& start = found->second;
-    if (is_new || start.told != upstream.started) {
-      start.told = upstream.started;
+    if (is_new || start.reported != upstream.started) {
+      start.reported = upstream.started;
       start.estimate = Estimate(upstream.started, now);
     }
-    start.listed = upstream.state != UpstreamState::kRemoved;
+    start.is_listed = upstream.state != UpstreamState::kRemoved;
     upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
-  // What the configuration remembers of earlier lists says nothing of when it was true.
-  if (report.kind != EndpointUpdateKind::kPersisted) last_list_ = now;
-  ForgetUnlisted();
+  // A persisted list does not say when it was in force.
+  if (report.kind != EndpointUpdateKind::kPersisted) last_list_at_ = now;
+  EvictUnlisted();
 }
 
-StartTimes::Time StartTimes::Estimate(std::chrono::milliseconds told, Time now) const {
-  if (told.count() == 0) return Time(0);  // long ago
-  if (!last_list_ || Time(told) >= *last_list_) return std::min(Time(told), now);
-  const bool is_late_list = *last_list_ - Time(told) <= kLateList;
-  return is_late_list ? *last_list_ : now;
+StartTimes::Time StartTimes::Estimate(std::chrono::milliseconds reported, Time now) const {
+  if (reported.count() == 0) return Time(0);  // long ago
+  if (!last_list_at_ || Time(reported) >= *last_list_at_) return std::min(Time(reported), now);
+  const bool is_late_list = *last_list_at_ - Time(reported) <= kMaxListDelay;
+  return is_late_list ? *last_list_at_ : now;
 }
 
-// Seldom, so that a list of changes costs what it tells and not what is listed.
-void StartTimes::ForgetUnlisted() {
-  if (starts_.size() < forget_at_) return;
-  std::erase_if(starts_, [](const auto& s) { return !s.second.listed; });
-  forget_at_ = 2 * starts_.size() + kUnlistedKept;
+// Seldom, so that the cost of a list of changes depends on its own size and not on that of the whole list.
+void StartTimes::EvictUnlisted() {
+  if (starts_.size() < eviction_threshold_) return;
+  std::erase_if(starts_, [](const auto& entry) { return !entry.second.is_listed; });
+  eviction_threshold_ = 2 * starts_.size() + kMaxUnlisted;
 }
 
 }  // namespace postspread::planner
