--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -52,11 +52,11 @@
   return PeerLink::PeerIdOf(*reinterpret_cast<const sockaddr_in*>(address->get()));
 }
 
-planner::Planner::Extras ToExtras(const config::Config& config, const operator_file::OperatorFile& operators,
-                                  membership::DisabledDefense disabled) {
+planner::PlannerOptions ToExtras(const config::Config& config, const operator_file::OperatorFile& operators,
+                                 membership::DisabledDefense disabled) {
   const std::optional<config::Peers> peers = PeersOf(config, operators);
-  planner::Planner::Extras out;
-  out.keys = operators.idempotency;
+  planner::PlannerOptions out;
+  out.idempotency = operators.idempotency;
   out.usage = operators.usage;
   out.has_peers = peers.has_value();
   out.membership = operators.membership;
@@ -112,11 +112,11 @@
                        bodies_, metrics_, *this),
       datagrams_(config.settings.peer_messages_per_second) {
   if (config.counter) DialCounter(*config.counter);
-  OnEndpointList(config.known, planner::EndpointUpdateKind::kRemembered);
+  OnEndpointList(config.known, EndpointUpdateKind::kPersisted);
   discovery_.emplace(base, config.discovery, config.settings.dial_timeout, config.settings.group_size,
                      config.seed, [this](config::EndpointList endpoint_list) {
-                       const auto scope = endpoint_list.full ? planner::EndpointUpdateKind::kSnapshot
-                                                             : planner::EndpointUpdateKind::kChanges;
+                       const auto scope =
+                           endpoint_list.full ? EndpointUpdateKind::kSnapshot : EndpointUpdateKind::kChanges;
                        OnEndpointList(std::move(endpoint_list), scope);
                      });
   settle_.Arm(kSettle);
@@ -147,7 +147,7 @@
 
 bool GatewayServer::CanServe() const {
   // An outage of the counter or of discovery must not keep a gateway that has upstreams from starting.
-  const bool connected = (counters_.empty() || counters_.back().up()) && discovery_->heard();
+  const bool connected = (counters_.empty() || counters_.back().up()) && discovery_->has_list();
   return ready_upstreams_ > 0 && (connected || settled_);
 }
 
@@ -328,12 +328,12 @@
   if (found != streaming_.end()) found->second.writer->WriteStream(found->second.slot, from, size);
 }
 
-void GatewayServer::OnStreamFinished(RequestId request, bool whole) {
+void GatewayServer::OnStreamFinished(RequestId request, StreamEnd end) {
   const auto found = streaming_.find(request);
   if (found == streaming_.end()) return;
   const StreamingResponse streaming = found->second;
   streaming_.erase(found);
-  if (whole) {
+  if (end == StreamEnd::kComplete) {
     ++streaming.metrics->completed;
     return streaming.writer->EndStream(streaming.slot);
   }
@@ -356,9 +356,9 @@
 
 void GatewayServer::OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) {
   RecordAttemptEnd(report);
-  metrics_.odd_use += report.use.odd;
+  metrics_.odd_use += report.use.unreadable;
   metrics_.over_quota_answers += config_.settings.meter_period.count() > 0 && report.use.percent > 100;
-  if (report.result == planner::AttemptResult::kServed) {
+  if (report.result == planner::AttemptResult::kSucceeded) {
     if (planner_.NeedsAnswer(report.request)) {
       planner::AttemptReport kept = report;
       kept.value = value;
@@ -380,7 +380,7 @@
   if (found == in_flight_.end()) return;
   const auto number = static_cast<std::size_t>(report.attempt);
   if (number >= found->second.attempts.size()) return;
-  const bool never_ran = report.result == Result::kTurnedAway || report.result == Result::kCouldNotConnect;
+  const bool never_ran = report.result == Result::kRejected || report.result == Result::kConnectFailed;
   found->second.attempts[number] = {.out = false, .may_have_run = !never_ran};
 }
 
@@ -392,19 +392,18 @@
   return writer != nullptr && writer->IsClientConnected();
 }
 
-void GatewayServer::OnHealthCheckFinished(const planner::ProbeReport& report) { Report(report); }
+void GatewayServer::OnHealthCheckFinished(const planner::HealthCheckReport& report) { Report(report); }
 
 void GatewayServer::OnCounterReply(planner::CounterReport report) { Report(std::move(report)); }
 
-void GatewayServer::OnEndpointList(const config::EndpointList& endpoint_list,
-                                   planner::EndpointUpdateKind scope) {
-  planner::EndpointListReport report{.scope = scope, .index = endpoint_list.index, .upstreams = {}};
+void GatewayServer::OnEndpointList(const config::EndpointList& endpoint_list, EndpointUpdateKind scope) {
+  planner::EndpointListReport report{.kind = scope, .index = endpoint_list.index, .upstreams = {}};
   if (endpoint_list.full) upstreams_.clear();
   for (const config::Endpoint& entry : endpoint_list.entries) {
-    if (entry.upstream.state == planner::UpstreamState::kGone) {
+    if (entry.upstream.state == UpstreamState::kRemoved) {
       upstreams_.erase(entry.upstream.name);  // names are never used again: kept, they would only grow
     } else {
-      upstreams_[entry.upstream.name] = entry.upstream.state == planner::UpstreamState::kReady;
+      upstreams_[entry.upstream.name] = entry.upstream.state == UpstreamState::kReady;
     }
     report.upstreams.push_back(entry.upstream);
   }
@@ -477,7 +476,7 @@
     return OnAttemptFinished({.request = action.request,
                               .attempt = action.attempt,
                               .upstream = action.upstream,
-                              .result = planner::AttemptResult::kCouldNotConnect},
+                              .result = planner::AttemptResult::kConnectFailed},
                              {});
   }
   held.attempts.resize(static_cast<std::size_t>(action.attempt) + 1);
@@ -538,13 +537,13 @@
   // After a change of address: answers must come in the order of a name's calls, so a name that still waits
   // on the old connection is asked for there; and the old one serves on until the new one is up.
   for (CounterClient& counter : counters_) {
-    if (counter.Awaits(action.name)) return counter.Ask(std::move(action));
+    if (counter.Awaits(action.name)) return counter.Call(std::move(action));
   }
   const auto up = std::find_if(counters_.rbegin(), counters_.rend(), [](const auto& c) { return c.up(); });
-  (up == counters_.rend() ? counters_.back() : *up).Ask(std::move(action));
+  (up == counters_.rend() ? counters_.back() : *up).Call(std::move(action));
 }
 
-void GatewayServer::Execute(planner::ProbeUpstream& action) { pool_.StartHealthCheck(action.upstream); }
+void GatewayServer::Execute(planner::StartHealthCheck& action) { pool_.StartHealthCheck(action.upstream); }
 
 void GatewayServer::Execute(planner::LogEvent& action) { Log("decisions", action.line); }
 
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -81,13 +81,13 @@
   void ResumeStream(RequestId number) override;
   // AttemptListener
   void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) override;
-  void OnHealthCheckFinished(const planner::ProbeReport& report) override;
+  void OnHealthCheckFinished(const planner::HealthCheckReport& report) override;
   bool IsStillNeeded(RequestId request) override;
   void OnRulePrevented(safety::Rule rule) override { metrics_.rules.Prevented(rule); }
   Value OnLargeValue(const planner::AttemptReport& report) override;
   std::size_t StreamCapacity(RequestId request) override;
   void StreamValue(RequestId request, evbuffer* from, std::size_t size) override;
-  void OnStreamFinished(RequestId request, bool whole) override;
+  void OnStreamFinished(RequestId request, StreamEnd end) override;
   void OnAttemptWritten() override { ++metrics_.upstream_requests; }
   // CounterListener
   void OnCounterReply(planner::CounterReport report) override;
@@ -98,7 +98,7 @@
   bool Drain() override;
   bool Activate() override;
 
-  void OnEndpointList(const config::EndpointList& endpoint_list, planner::EndpointUpdateKind scope);
+  void OnEndpointList(const config::EndpointList& endpoint_list, EndpointUpdateKind scope);
   void Report(planner::ReportValue report);
   void Run(planner::Actions actions);
   void RunQueued();
@@ -115,7 +115,7 @@
   void Execute(planner::SendMembershipDatagram& action);
   void Execute(planner::CancelAttempt& action);
   void Execute(planner::CallCounter& action);
-  void Execute(planner::ProbeUpstream& action);
+  void Execute(planner::StartHealthCheck& action);
   void Execute(planner::LogEvent& action);
   std::optional<ops::MembershipMetrics> MembershipMetrics() const;
   bool CanServe() const;
