--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -65,13 +65,13 @@
   std::erase_if(probes_, [](const Probe& probe) { return probe.finished; });
 }
 
-// Ticks may come a little early, so each deadline is met half a tick before.
+// Ticks are not exact: each deadline counts as reached half a tick before it is.
 void FailureDetector::Advance(Probe& probe, MemberRecord& target, TimePoint now) {
   const Duration tick = context_.TickInterval();
   const Duration elapsed = now - probe.started_at;
   if (elapsed < tick / 2) return;  // sent in this tick
   if (elapsed < kProbeTimeoutTicks * tick - tick / 2) {
-    // Repeated each tick: a lost datagram is so no reason for suspicion.
+    // Repeated each tick, so that one lost datagram does not cause a suspicion.
     requests_.Ping(Purpose::kProbe, target, now);
     if (!probe.indirect && elapsed >= kIndirectProbeTicks * tick - tick / 2) {
       probe.indirect = true;
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -3,6 +3,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
+#include <type_traits>
 #include <utility>
 #include <variant>
 
@@ -24,6 +25,15 @@
 constexpr unsigned kStateMask = 3;
 constexpr unsigned kNameMask = 0x1f;
 
+enum class MessageType : unsigned char { kPing, kExchange, kAck, kNack, kPingRequest, kGossip };
+template <MessageType type, typename Body>
+constexpr bool kIsCodeOf =
+    std::is_same_v<std::variant_alternative_t<static_cast<std::size_t>(type), MessageBody>, Body>;
+// The writer takes a type's code from its position in the variant.
+static_assert(kIsCodeOf<MessageType::kPing, Ping> && kIsCodeOf<MessageType::kExchange, Exchange> &&
+              kIsCodeOf<MessageType::kAck, Ack> && kIsCodeOf<MessageType::kNack, Nack> &&
+              kIsCodeOf<MessageType::kPingRequest, PingRequest> && kIsCodeOf<MessageType::kGossip, Gossip>);
+
 void Put16(std::uint16_t value, std::string& out) {
   out += static_cast<char>(value & 0xff);
   out += static_cast<char>(value >> 8);
@@ -131,26 +141,25 @@
     return out;
   }
 
-  // The body of the type with this code, empty if there is none such.
-  void ReadBody(Message& out, unsigned char type) {
+  void ReadBody(MessageType type, MessageBody& out) {
     switch (type) {
-      case 0:
-        out.body = Ping{};
+      case MessageType::kPing:
+        out = Ping{};
         break;
-      case 1:
-        out.body = ReadExchange();
+      case MessageType::kExchange:
+        out = ReadExchange();
         break;
-      case 2:
-        out.body = Ack{};
+      case MessageType::kAck:
+        out = Ack{};
         break;
-      case 3:
-        out.body = Nack{};
+      case MessageType::kNack:
+        out = Nack{};
         break;
-      case 4:
-        out.body = PingRequest{ReadEntry()};
+      case MessageType::kPingRequest:
+        out = PingRequest{ReadEntry()};
         break;
-      case 5:
-        out.body = Gossip{};
+      case MessageType::kGossip:
+        out = Gossip{};
         break;
       default:
         Reject();
@@ -180,7 +189,7 @@
   out_ = kMagic;
   out_ += static_cast<char>(kVersion);
   Put32(group, out_);
-  out_ += static_cast<char>(head.body.index());  // the type's code: see Scanner::ReadBody
+  out_ += static_cast<char>(head.body.index());
   PutVarint(head.number, out_);
   Put32(head.view_hash, out_);
   PutEntry(head.sender.name, 0, head.sender.update, head.sender.kind, out_);
@@ -213,11 +222,11 @@
   if (Scanner(bytes.substr(body.size())).Read32() != XXH32(body.data(), body.size(), group)) {
     return ReadError::kUnreadable;
   }
-  const unsigned char type = in.Read8();
+  const auto type = static_cast<MessageType>(in.Read8());
   out.number = in.ReadVarint();
   out.view_hash = in.Read32();
   out.sender = in.ReadEntry();
-  in.ReadBody(out, type);
+  in.ReadBody(type, out.body);
   out.entries.clear();
   while (in.sound() && !in.empty()) out.entries.push_back(in.ReadEntry());
   return in.sound() ? ReadError::kNone : ReadError::kUnreadable;
