--- /dev/null
+++ b/src/policy/controller.cpp
@@ -0,0 +1,359 @@
+// The Controller: dispatch of events, and the life of a request from its arrival over its attempts to its
+// final answer. What is decided on the way is in the other files of src/policy/.
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "policy/admission.h"
+#include "policy/decision_context.h"
+#include "policy/quota.h"
+#include "policy/retry.h"
+#include "policy/timer_token.h"
+#include "policy/upstream_selector.h"
+#include "policy/upstream_set.h"
+#include "postspread/control.h"
+#include "statistics/float_seconds.h"
+#include "statistics/latency_statistics.h"
+#include "statistics/load_statistics.h"
+#include "statistics/traffic_mix.h"
+
+namespace postspread {
+namespace {
+
+using namespace policy;
+
+constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(100);
+constexpr Duration kSelectAgainDelay = std::chrono::milliseconds(20);  // while no server is available
+constexpr Duration kResubscribeDelay = std::chrono::seconds(1);
+constexpr double kRetryAfterJitter = 1;  // clients rejected together must not return together
+
+}  // namespace
+
+class Controller::Impl {
+ public:
+  Impl(Settings settings, std::uint64_t seed, TimePoint now);
+
+  void Handle(const Event& event, TimePoint now, std::vector<Action>& actions);
+  void Reconfigure(Settings next);
+  [[nodiscard]] UpstreamCounts Count(TimePoint now) const { return upstreams_.Count(now); }
+
+ private:
+  // ---- Events ----
+  void OnEvent(const EndpointListEvent& event);
+  void OnEvent(const RequestEvent& event);
+  void OnEvent(const OutcomeEvent& event);
+  void OnEvent(const StreamStartedEvent& event);
+  void OnEvent(const ClientGoneEvent& event);
+  void OnEvent(const TimerEvent& event);
+  void OnEvent(const CounterEvent& event);
+  void OnEvent(const ProbeEvent& /*event*/) {}        // no probes are sent
+  void OnEvent(const PeerMessageEvent& /*event*/) {}  // no messages are sent to peers
+
+  void Start();
+  void RunMaintenance();
+  RequestState& AddRequest(const RequestEvent& event);
+  void OnRequestTimer(RequestState& request, TimerKind kind);
+  void OnObjectivePassed(RequestState& request);
+  void OnStuckTimeout(RequestState& request);
+
+  // ---- A request's steps; each may end the request, and with it the reference ----
+  void Execute(RequestState& request, const AdmissionDecision& decision);
+  void StartAttempt(RequestState& request);
+  void RejectRequest(RequestState& request, Duration retry_after);
+  // No attempt can serve it any more: rejects it where that is true, else fails it.
+  void FinishWithoutAnswer(RequestState& request);
+  // The request is over. Cancels open attempts, and forgets the request once none is open.
+  void Finish(RequestState& request);
+  [[nodiscard]] Duration JitteredRetryAfter(Duration retry_after);
+
+  DecisionContext context_;
+  statistics::TrafficMix traffic_;
+  statistics::LatencyStatistics latency_;
+  statistics::LoadStatistics load_;
+  AdmissionControl admission_{context_, traffic_, latency_, load_};
+  UpstreamSet upstreams_{context_};
+  UpstreamSelector selector_{context_, upstreams_, load_};
+  RetryPolicy retries_{context_, admission_, upstreams_, latency_};
+  Quota quota_{context_, admission_, latency_};
+  bool started_ = false;
+  bool clients_mark_retries_ = false;  // some client has marked a request as a retry
+};
+
+Controller::Impl::Impl(Settings settings, std::uint64_t seed, TimePoint now)
+    : context_(seed, now), load_(now) {
+  Reconfigure(std::move(settings));
+}
+
+void Controller::Impl::Reconfigure(Settings next) {
+  const Settings previous = context_.Reconfigure(std::move(next));
+  const std::vector<ClassSettings>& classes = context_.settings().classes;
+  traffic_.Resize(classes.size(), context_.settings().plans.size());
+  latency_.Resize(classes.size());
+  // What was learnt of a place in the list goes with the name of its class.
+  for (std::size_t i = 0; i < classes.size(); ++i) {
+    if (i < previous.classes.size() && previous.classes[i].name == classes[i].name) continue;
+    traffic_.ForgetClass(i);
+    latency_.ForgetClass(i);
+  }
+}
+
+void Controller::Impl::Handle(const Event& event, TimePoint now, std::vector<Action>& actions) {
+  if (context_.BeginEvent(now, actions) == DecisionContext::EventGap::kStalled) load_.OnStall(now);
+  if (!started_) Start();
+  std::visit([this](const auto& typed_event) { OnEvent(typed_event); }, event);
+  context_.EndEvent();
+}
+
+void Controller::Impl::Start() {
+  started_ = true;
+  context_.Emit(SetTimer{kMaintenanceInterval, TimerToken(TimerKind::kMaintenance, 0)});
+  if (context_.settings().discovery_mode == DiscoveryMode::kSubscribe) context_.Emit(Subscribe{});
+}
+
+void Controller::Impl::RunMaintenance() {
+  context_.Emit(SetTimer{kMaintenanceInterval, TimerToken(TimerKind::kMaintenance, 0)});
+  admission_.RunMaintenance();
+  upstreams_.RunMaintenance();
+  quota_.RunMaintenance();
+}
+
+// ---- Arrival and admission ----
+
+void Controller::Impl::OnEvent(const RequestEvent& event) {
+  RequestState& request = AddRequest(event);
+  clients_mark_retries_ |= event.retry;
+  const Duration until_final_answer = std::max(Duration(0), event.time_left - context_.settings().tick);
+  context_.Emit(SetTimer{until_final_answer, TimerToken(TimerKind::kFinalAnswer, request.id)});
+  retries_.OnRequest();
+  if (admission_.ShouldShed(request)) return RejectRequest(request, admission_.RetryAfter());
+  Execute(request, quota_.OnRequest(request, event));
+}
+
+RequestState& Controller::Impl::AddRequest(const RequestEvent& event) {
+  const Settings& settings = context_.settings();
+  RequestState& request = context_.AddRequest(event.id);
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    if (settings.classes[i].name != event.class_name) continue;
+    request.class_index = static_cast<int>(i);
+    request.class_settings = context_.ShareClass(i);
+  }
+  for (std::size_t i = 0; i < settings.plans.size(); ++i) {
+    if (settings.plans[i].name == event.plan) request.plan_index = static_cast<int>(i);
+  }
+  request.max_attempts = settings.max_attempts;
+  request.customer = event.customer;
+  request.units = std::max(0.0, event.units);
+  request.is_client_retry = event.retry;
+  request.key_pin = event.pin;
+  if (request.key_pin) {
+    request.key_expiry = context_.now() - request.key_pin->age + request.Class().key_ttl;
+  }
+  request.deadline = context_.now() + event.time_left;
+  request.objective_at = context_.now() + std::min(request.Class().latency_objective, event.time_left);
+  return request;
+}
+
+void Controller::Impl::OnEvent(const CounterEvent& event) {
+  const Quota::ReplyDecision reply = quota_.OnCounterReply(event);
+  if (reply.request != nullptr) Execute(*reply.request, reply.decision);
+}
+
+void Controller::Impl::Execute(RequestState& request, const AdmissionDecision& decision) {
+  switch (decision.kind) {
+    case AdmissionDecision::Kind::kPending:
+      return;
+    case AdmissionDecision::Kind::kSend:
+      request.stage = RequestStage::kReadyToSend;
+      return StartAttempt(request);
+    case AdmissionDecision::Kind::kDelay:
+      request.stage = RequestStage::kDelayed;
+      return context_.Emit(
+          SetTimer{decision.delayed_until - context_.now(), TimerToken(TimerKind::kDelayOver, request.id)});
+    case AdmissionDecision::Kind::kReject:
+      return RejectRequest(request, decision.retry_after);
+  }
+}
+
+// ---- Attempts ----
+
+void Controller::Impl::StartAttempt(RequestState& request) {
+  const TimePoint now = context_.now();
+  if (std::ssize(request.attempts) >= request.max_attempts || now >= request.deadline) {
+    return FinishWithoutAnswer(request);
+  }
+  Upstream* upstream = selector_.Select(request);
+  if (upstream == nullptr) {
+    // Where only servers in slow start are left the request ends: sent to them it would overload them.
+    if (!upstreams_.available().empty()) return FinishWithoutAnswer(request);
+    return context_.Emit(SetTimer{kSelectAgainDelay, TimerToken(TimerKind::kSelectAgain, request.id)});
+  }
+  selector_.OnAttemptStarted(*upstream);
+  load_.OnAttemptStarted(now);
+  quota_.OnAttemptStarted(request);
+  request.stage = RequestStage::kInFlight;
+  request.attempts.push_back(Attempt{.server = upstream->info.id, .sent = now});
+  context_.Emit(Send{request.id, upstream->info.id, request.deadline - now, request.RepeatableUntil() - now});
+  context_.Emit(SetTimer{retries_.StuckTimeout(request), TimerToken(TimerKind::kStuckAttempt, request.id)});
+  context_.Emit(
+      SetTimer{request.Class().latency_objective, TimerToken(TimerKind::kObjectivePassed, request.id)});
+}
+
+void Controller::Impl::OnEvent(const OutcomeEvent& event) {
+  selector_.OnAttemptFinished(event);
+  RequestState* request = context_.FindRequest(event.id);
+  if (request == nullptr) return;
+  const auto index = static_cast<std::size_t>(std::max(0, event.attempt));
+  if (index >= request->attempts.size() || !request->attempts[index].open) return;
+  Attempt& attempt = request->attempts[index];
+  attempt.open = false;
+  attempt.may_have_run = event.outcome != Outcome::kRejected && event.outcome != Outcome::kConnectFailed &&
+                         event.outcome != Outcome::kNotSent;
+  admission_.StopCounting(*request, attempt,
+                          attempt.may_have_run ? AttemptEnd::kAnswered : AttemptEnd::kNeverRan);
+  const bool good = event.outcome == Outcome::kOk;
+  if (good && request->class_index >= 0) {
+    latency_.Record(static_cast<std::size_t>(request->class_index), FloatSeconds(event.elapsed),
+                    admission_.shed_share() > 0 ? statistics::ServiceCondition::kOverloaded
+                                                : statistics::ServiceCondition::kNormal);
+  }
+  quota_.OnAttemptFinished(*request, good ? event.true_units : 0);
+  if (request->stage == RequestStage::kFinished || good || event.final) return Finish(*request);
+  if (request->HasOpenAttempt()) return;
+  if (!retries_.MayRetry(*request, event.outcome)) return FinishWithoutAnswer(*request);
+  request->stage = RequestStage::kReadyToSend;
+  StartAttempt(*request);
+}
+
+void Controller::Impl::OnEvent(const StreamStartedEvent& event) {
+  // The answer reaches the client from now on: no other can be given.
+  if (RequestState* request = context_.FindRequest(event.id)) request->stage = RequestStage::kFinished;
+}
+
+void Controller::Impl::OnStuckTimeout(RequestState& request) {
+  switch (retries_.OnStuckTimeout(request)) {
+    case StuckAction::kWait:
+      return;
+    case StuckAction::kHedge:
+      return StartAttempt(request);
+    case StuckAction::kCancelAndRetry:
+      request.retries_after_cancel = true;
+      return context_.Emit(Cancel{request.id, static_cast<int>(request.attempts.size()) - 1});
+  }
+}
+
+// ---- The final answer ----
+
+void Controller::Impl::RejectRequest(RequestState& request, Duration retry_after) {
+  context_.Emit(Reject{request.id, JitteredRetryAfter(retry_after)});
+  Finish(request);
+}
+
+Duration Controller::Impl::JitteredRetryAfter(Duration retry_after) {
+  const Settings& settings = context_.settings();
+  const double random = context_.Random();
+  if (!settings.retry_after) return Duration(0);
+  const Duration jittered = ToDuration(FloatSeconds(retry_after) * (1 + kRetryAfterJitter * random));
+  if (settings.max_retry_after.count() <= 0) return jittered;
+  const Duration longest =
+      ToDuration(FloatSeconds(settings.max_retry_after) * (1 - kRetryAfterJitter / 4 * random));
+  return std::min(jittered, longest);
+}
+
+void Controller::Impl::FinishWithoutAnswer(RequestState& request) {
+  if (request.stage == RequestStage::kFinished) return;
+  if (request.IsSafeToRepeat()) {
+    // What holds the servers up is mostly over within a typical answer's time.
+    const Duration typical = ToDuration(latency_.Typical(request.class_index));
+    return RejectRequest(request, std::max(context_.settings().tick, typical));
+  }
+  context_.Emit(Fail{request.id});
+  Finish(request);
+}
+
+void Controller::Impl::Finish(RequestState& request) {
+  if (request.stage != RequestStage::kFinished) {
+    const bool admitted =
+        request.stage == RequestStage::kDelayed || request.stage == RequestStage::kReadyToSend;
+    if (admitted && request.attempts.empty()) quota_.RefundUnsent(request);
+    request.stage = RequestStage::kFinished;
+    for (std::size_t i = 0; i < request.attempts.size() && context_.settings().can_cancel; ++i) {
+      if (request.attempts[i].open) context_.Emit(Cancel{request.id, static_cast<int>(i)});
+    }
+  }
+  if (!request.HasOpenAttempt()) context_.RemoveRequest(request.id);
+}
+
+void Controller::Impl::OnEvent(const ClientGoneEvent& event) {
+  if (RequestState* request = context_.FindRequest(event.id)) Finish(*request);
+}
+
+// ---- Timers and servers ----
+
+void Controller::Impl::OnEvent(const TimerEvent& event) {
+  const TimerKind kind = TimerKindOf(event.token);
+  if (kind == TimerKind::kMaintenance) return RunMaintenance();
+  if (kind == TimerKind::kResubscribe) return context_.Emit(Subscribe{});
+  RequestState* request = context_.FindRequest(TimerRequestOf(event.token));
+  if (request == nullptr) return;
+  if (kind == TimerKind::kObjectivePassed) return OnObjectivePassed(*request);
+  if (request->stage != RequestStage::kFinished) OnRequestTimer(*request, kind);
+}
+
+void Controller::Impl::OnObjectivePassed(RequestState& request) {
+  const Duration objective = request.Class().latency_objective;
+  for (Attempt& attempt : request.attempts) {
+    if (context_.now() - attempt.sent < objective) continue;
+    admission_.StopCounting(request, attempt, AttemptEnd::kAnswered);
+  }
+  // In overload a late request makes way, unless clients retry without a mark and so double the work.
+  if (clients_mark_retries_ && request.stage == RequestStage::kInFlight &&
+      admission_.Pressure(request.Class()) > kHighPressure) {
+    FinishWithoutAnswer(request);
+  }
+}
+
+void Controller::Impl::OnRequestTimer(RequestState& request, TimerKind kind) {
+  switch (kind) {
+    case TimerKind::kFinalAnswer:
+      return FinishWithoutAnswer(request);
+    case TimerKind::kCounterTimeout:
+      if (request.stage != RequestStage::kAwaitingCounter) return;
+      return Execute(request, quota_.OnCounterTimeout(request));
+    case TimerKind::kDelayOver:
+      if (request.stage != RequestStage::kDelayed) return;
+      return Execute(request, quota_.ReleaseDelayed(request));
+    case TimerKind::kStuckAttempt:
+      return OnStuckTimeout(request);
+    case TimerKind::kSelectAgain:
+      if (request.stage == RequestStage::kReadyToSend) StartAttempt(request);
+      return;
+    case TimerKind::kMaintenance:
+    case TimerKind::kObjectivePassed:
+    case TimerKind::kResubscribe:
+      return;  // handled before
+  }
+}
+
+void Controller::Impl::OnEvent(const EndpointListEvent& event) {
+  const bool subscribes = context_.settings().discovery_mode == DiscoveryMode::kSubscribe;
+  if (event.kind == EndpointListKind::kError && subscribes) {
+    context_.Emit(SetTimer{kResubscribeDelay, TimerToken(TimerKind::kResubscribe, 0)});
+  }
+  if (event.servers != nullptr) upstreams_.OnEndpointList(event);
+}
+
+// ---- The public class ----
+
+Controller::Controller(Settings settings, std::uint64_t seed, TimePoint now)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed, now)) {}
+Controller::~Controller() = default;
+Controller::Controller(Controller&&) noexcept = default;
+Controller& Controller::operator=(Controller&&) noexcept = default;
+
+void Controller::Handle(const Event& event, TimePoint now, std::vector<Action>& actions) {
+  impl_->Handle(event, now, actions);
+}
+void Controller::Reconfigure(Settings settings) { impl_->Reconfigure(std::move(settings)); }
+Controller::UpstreamCounts Controller::Count(TimePoint now) const { return impl_->Count(now); }
+
+}  // namespace postspread
--- /dev/null
+++ b/src/policy/counter_window.cpp
@@ -0,0 +1,69 @@
+#include "policy/counter_window.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace postspread::policy {
+namespace {
+
+constexpr double kLimitDecrease = 0.7;  // factor
+
+// Factors of the share of requests that call: it settles where one call in eight fails.
+constexpr double kShareDecrease = 0.7;
+constexpr double kShareIncrease = 1.05;
+constexpr double kMinShare = 0.1;  // still calls when all fail, to see the counter return
+
+constexpr int kMaxFailures = 4;  // in a row
+constexpr Duration kCheckInterval = std::chrono::milliseconds(300);
+
+}  // namespace
+
+void CounterCallWindow::OnReply(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
+  --open_calls_;
+  UpdateShare(quality, sent_at, now);
+  UpdateLimit(quality, sent_at, now);
+}
+
+void CounterCallWindow::UpdateShare(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
+  if (quality == ReplyQuality::kFast || quality == ReplyQuality::kSlow) {
+    call_share_ = std::clamp(call_share_ * kShareIncrease, kMinShare, 1.0);
+  } else if (quality == ReplyQuality::kOverloaded && sent_at >= share_reduced_at_) {
+    call_share_ = std::clamp(call_share_ * kShareDecrease, kMinShare, 1.0);
+    share_reduced_at_ = now;
+  }
+}
+
+void CounterCallWindow::UpdateLimit(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
+  if (quality == ReplyQuality::kFast) {
+    max_open_calls_ = std::min(kMaxOpenCalls, max_open_calls_ + 1 / max_open_calls_);
+  } else if (quality != ReplyQuality::kUnknown && sent_at >= limit_reduced_at_) {
+    max_open_calls_ = std::max(1.0, max_open_calls_ * kLimitDecrease);
+    limit_reduced_at_ = now;
+  }
+}
+
+bool CounterOutage::IsDown() const { return failures_ >= kMaxFailures; }
+
+bool CounterOutage::MayCall(TimePoint now) {
+  if (IsDown() && now < next_check_) return false;
+  next_check_ = now + kCheckInterval;
+  return true;
+}
+
+bool CounterOutage::OnSuccess(TimePoint sent_at) {
+  const bool was_down = IsDown();
+  if (was_down && sent_at <= down_since_) return false;  // sent before the outage, so it doesn't end it
+  failures_ = 0;
+  return was_down;
+}
+
+bool CounterOutage::OnFailure(TimePoint now) {
+  if (std::exchange(last_failure_, now) == now) return false;
+  ++failures_;
+  if (failures_ != kMaxFailures) return false;
+  down_since_ = now;
+  next_check_ = now + kCheckInterval;
+  return true;
+}
+
+}  // namespace postspread::policy
--- /dev/null
+++ b/src/policy/upstream_set.cpp
@@ -0,0 +1,64 @@
+#include "policy/upstream_set.h"
+
+#include <iterator>
+
+#include "policy/slow_start.h"
+
+namespace postspread::policy {
+
+void UpstreamSet::OnEndpointList(const EndpointListEvent& event) {
+  if (event.kind != EndpointListKind::kPartial) {
+    for (auto& [id, upstream] : upstreams_) upstream.listed = false;
+  }
+  for (const ServerInfo& info : *event.servers) {
+    Upstream& upstream = upstreams_[info.id];
+    // A new process: what was known of the old one no longer holds.
+    if (info.started != upstream.info.started) {
+      upstream = Upstream{.in_flight = upstream.in_flight, .waiting_since = context_.now()};
+    }
+    upstream.info = info;
+    upstream.listed = info.state != ServerState::kGone;
+  }
+  Refresh();
+}
+
+void UpstreamSet::RunMaintenance() {
+  for (auto it = upstreams_.begin(); it != upstreams_.end();) {
+    const bool forget = !it->second.listed && it->second.in_flight == 0;
+    it = forget ? upstreams_.erase(it) : std::next(it);
+  }
+  Refresh();
+}
+
+Upstream* UpstreamSet::Find(const std::string& id) {
+  const auto found = upstreams_.find(id);
+  return found == upstreams_.end() ? nullptr : &found->second;
+}
+
+const Upstream* UpstreamSet::Find(const std::string& id) const {
+  const auto found = upstreams_.find(id);
+  return found == upstreams_.end() ? nullptr : &found->second;
+}
+
+Controller::UpstreamCounts UpstreamSet::Count(TimePoint now) const {
+  Controller::UpstreamCounts counts;
+  for (const auto& [id, upstream] : upstreams_) {
+    if (!upstream.listed) continue;
+    ++counts.listed;
+    if (upstream.IsAvoided(now)) ++counts.avoided;
+  }
+  return counts;
+}
+
+void UpstreamSet::Refresh() {
+  available_.clear();
+  total_weight_ = 0;
+  for (auto& [id, upstream] : upstreams_) {
+    if (!upstream.listed || upstream.info.state != ServerState::kUp) continue;
+    available_.push_back(&upstream);
+    total_weight_ +=
+        SlowStartWeight(context_.settings(), upstream, SlowStartCause::kStartOrEjection, context_.now());
+  }
+}
+
+}  // namespace postspread::policy
--- /dev/null
+++ b/src/statistics/float_seconds.h
@@ -0,0 +1,28 @@
+// Spans as real numbers of seconds, which averages and decays are computed in.
+//
+// Convert a Duration explicitly before it meets a FloatSeconds: mixed arithmetic is done in microseconds and
+// rounds differently.
+#ifndef POSTSPREAD_STATISTICS_FLOAT_SECONDS_H_
+#define POSTSPREAD_STATISTICS_FLOAT_SECONDS_H_
+
+#include <algorithm>
+#include <chrono>
+#include <cstdint>
+
+#include "postspread/control.h"
+
+namespace postspread {
+
+using FloatSeconds = std::chrono::duration<double>;
+
+// Rounds down to a microsecond; a negative span becomes 0 and one over a million seconds that limit.
+inline Duration ToDuration(FloatSeconds span) {
+  constexpr double kMaxSeconds = 1e6;
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  return Duration(
+      static_cast<std::int64_t>(std::clamp(span.count(), 0.0, kMaxSeconds) * kMicrosecondsPerSecond));
+}
+
+}  // namespace postspread
+
+#endif  // POSTSPREAD_STATISTICS_FLOAT_SECONDS_H_
--- /dev/null
+++ b/src/statistics/latency_statistics.cpp
@@ -0,0 +1,50 @@
+#include "statistics/latency_statistics.h"
+
+#include <algorithm>
+
+namespace postspread::statistics {
+namespace {
+
+constexpr double kTypicalWeight = 0.03;  // of one answer: a mean over some tens of answers
+// Weights of one answer that is faster or slower than the unqueued time: it settles where a tenth are faster.
+constexpr double kUnqueuedWeightFaster = 0.1;
+constexpr double kUnqueuedWeightSlower = 0.01;
+constexpr double kMaxRelativeServiceTime = 4;
+
+double UnqueuedWeight(FloatSeconds unqueued, FloatSeconds latency, ServiceCondition condition) {
+  if (unqueued.count() == 0) return 1.0;
+  if (latency < unqueued) return kUnqueuedWeightFaster;
+  return condition == ServiceCondition::kOverloaded ? 0.0 : kUnqueuedWeightSlower;
+}
+
+}  // namespace
+
+void LatencyStatistics::Resize(std::size_t classes) { classes_.resize(classes); }
+
+void LatencyStatistics::ForgetClass(std::size_t class_index) { classes_[class_index] = ClassLatency{}; }
+
+void LatencyStatistics::Record(std::size_t class_index, FloatSeconds latency, ServiceCondition condition) {
+  ClassLatency& known = classes_[class_index];
+  known.typical += (latency - known.typical) * (known.typical.count() == 0 ? 1.0 : kTypicalWeight);
+  known.unqueued += (latency - known.unqueued) * UnqueuedWeight(known.unqueued, latency, condition);
+}
+
+FloatSeconds LatencyStatistics::Typical(int class_index) const {
+  return class_index < 0 ? FloatSeconds(0) : classes_[static_cast<std::size_t>(class_index)].typical;
+}
+
+double LatencyStatistics::RelativeServiceTime(int class_index, const TrafficMix& traffic) const {
+  double sum = 0;
+  double units = 0;
+  for (const TrafficMix::Cell& cell : traffic.cells()) {
+    const double unqueued = classes_[cell.class_index].unqueued.count();
+    if (unqueued <= 0) continue;
+    sum += cell.units.value() * unqueued;
+    units += cell.units.value();
+  }
+  const double own = class_index < 0 ? 0.0 : classes_[static_cast<std::size_t>(class_index)].unqueued.count();
+  if (sum <= 0 || own <= 0) return 1.0;
+  return std::clamp(own * units / sum, 1 / kMaxRelativeServiceTime, kMaxRelativeServiceTime);
+}
+
+}  // namespace postspread::statistics
