--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,8 +10,9 @@
 constexpr double kHighPressureGain = 2;  // shed at once, of the pressure above the high mark
 
 // Per maintenance round.
-constexpr double kShedGain = 0.1;      // of the excess pressure: a second to answer a surge
-constexpr double kShedRecovery = 0.1;  // of the share shed: a second to end it, where servers have capacity
+constexpr double kShedGain = 0.1;  // of the excess pressure: a second to answer a surge
+constexpr double kShedRecovery =
+    0.1;  // of the fraction shed: a second to end it, where servers have capacity
 
 constexpr double kSpareUtilization = 0.75;  // below, on average, servers report capacity
 constexpr double kNormalInFlight = 1.4;     // of the usual number in flight: below, nothing queues
@@ -31,12 +32,13 @@
   if (request.class_index < 0 || request.plan_index < 0) return false;
   traffic_.Record(context_.now(), static_cast<std::size_t>(request.class_index),
                   static_cast<std::size_t>(request.plan_index), request.units);
-  // Where evidence comes slowly the share shed rises slowly too: there the surplus starts at less pressure.
+  // Where evidence comes slowly the fraction shed rises slowly too: there the surplus starts at less
+  // pressure.
   const double high = kTargetPressure + (kHighPressure - kTargetPressure) * statistics::kMinLoadMemory /
                                             load_.Memory(context_.now());
   const double surplus = std::max(0.0, Pressure(request.Class()) - high);
-  const double share = shed_share_ + kHighPressureGain * surplus;
-  return share > 0 && context_.Random() < share * (1 + kValueTilt * (1 - RelativeValue(request)));
+  const double fraction = shed_fraction_ + kHighPressureGain * surplus;
+  return fraction > 0 && context_.Random() < fraction * (1 + kValueTilt * (1 - RelativeValue(request)));
 }
 
 Duration AdmissionControl::RetryAfter() { return ToDuration(load_.Memory(context_.now())); }
@@ -58,16 +60,16 @@
   // An integral controller: how much must be shed depends on how often clients retry, which only the outcome
   // shows.
   double change = kShedGain * std::min(1.0, FloatSeconds(1) / load_.Memory(now)) * (worst - kTargetPressure);
-  // Where servers report capacity the share falls at once: a gateway that sheds gets few answers, and its
+  // Where servers report capacity the fraction falls at once: a gateway that sheds gets few answers, and its
   // pressure may stay below the target by chance. So too where little is in flight: servers that have all
   // become slower look like a queue however much is shed.
   if (load_.IsUtilizationBelow(kSpareUtilization) || load_.IsInFlightBelow(now, kNormalInFlight)) {
-    change = std::min(change, -kShedRecovery * shed_share_);
+    change = std::min(change, -kShedRecovery * shed_fraction_);
   }
-  shed_share_ = std::clamp(shed_share_ + change, 0.0, 1.0);
+  shed_fraction_ = std::clamp(shed_fraction_ + change, 0.0, 1.0);
   load_.LearnBaseline(
       now,
-      shed_share_ > 0 ? statistics::ServiceCondition::kOverloaded : statistics::ServiceCondition::kNormal,
+      shed_fraction_ > 0 ? statistics::ServiceCondition::kOverloaded : statistics::ServiceCondition::kNormal,
       FloatSeconds(context_.longest_objective()));
 }
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,9 +1,9 @@
 // Admission control: sheds load while servers are so busy that service takes too much of the latency
 // objective.
 //
-// Pressure is the share of a class's slack, between the service time without queueing and its latency
-// objective, that queueing takes now. Above a target the share shed rises, least valuable work first; below
-// it that share falls.
+// Pressure is the fraction of a class's slack, between the service time without queueing and its latency
+// objective, that queueing takes now. Above a target the fraction shed rises, least valuable work first;
+// below it that fraction falls.
 #ifndef POSTSPREAD_POLICY_ADMISSION_H_
 #define POSTSPREAD_POLICY_ADMISSION_H_
 
@@ -16,7 +16,8 @@
 namespace postspread::policy {
 
 constexpr double kTargetPressure = 0.25;
-constexpr double kHighPressure = 0.6;   // above, load is shed at once, without waiting for the share to rise
+constexpr double kHighPressure =
+    0.6;  // above, load is shed at once, without waiting for the fraction to rise
 constexpr double kSparePressure = 0.1;  // below, servers have spare capacity for what is not due to be sent
 
 // Whether an attempt that leaves the load figures counts as an answer.
@@ -28,14 +29,14 @@
                    const statistics::LatencyStatistics& latency, statistics::LoadStatistics& load)
       : context_(context), traffic_(traffic), latency_(latency), load_(load) {}
 
-  // The share of the class's slack that queueing takes now.
+  // The fraction of the class's slack that queueing takes now.
   [[nodiscard]] double Pressure(const ClassSettings& rules);
 
   // Records a request as traffic and decides whether to shed it.
   [[nodiscard]] bool ShouldShed(const RequestState& request);
 
-  // The share of the traffic that is shed, before the surplus of high pressure.
-  [[nodiscard]] double shed_share() const { return shed_share_; }
+  // The fraction of the traffic that is shed, before the surplus of high pressure.
+  [[nodiscard]] double shed_fraction() const { return shed_fraction_; }
 
   // When a client whose request was shed may come again: sooner the load figures would say the same.
   [[nodiscard]] Duration RetryAfter();
@@ -53,7 +54,7 @@
   statistics::TrafficMix& traffic_;
   const statistics::LatencyStatistics& latency_;
   statistics::LoadStatistics& load_;
-  double shed_share_ = 0.0;
+  double shed_fraction_ = 0.0;
 };
 
 }  // namespace postspread::policy
--- a/src/policy/borrowed_units.h
+++ b/src/policy/borrowed_units.h
@@ -10,7 +10,7 @@
 
 class BorrowedUnits {
  public:
-  // The counter has told the total of the later period's count.
+  // The counter has replied with the total of the later period's count.
   void ObserveTotal(std::int64_t period, double total) {
     if (period_ != period) returned_ = 0;
     period_ = period;
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,4 +1,4 @@
-// The Controller: dispatch of events, and the life of a request from its arrival over its attempts to its
+// The Controller: dispatch of events, and the ttl of a request from its arrival over its attempts to its
 // final answer. What is decided on the way is in the other files of src/policy/.
 #include <algorithm>
 #include <memory>
@@ -135,7 +135,7 @@
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     if (settings.classes[i].name != event.class_name) continue;
     request.class_index = static_cast<int>(i);
-    request.class_settings = context_.ShareClass(i);
+    request.class_settings = context_.ClassAt(i);
   }
   for (std::size_t i = 0; i < settings.plans.size(); ++i) {
     if (settings.plans[i].name == event.plan) request.plan_index = static_cast<int>(i);
@@ -213,8 +213,8 @@
   const bool good = event.outcome == Outcome::kOk;
   if (good && request->class_index >= 0) {
     latency_.Record(static_cast<std::size_t>(request->class_index), FloatSeconds(event.elapsed),
-                    admission_.shed_share() > 0 ? statistics::ServiceCondition::kOverloaded
-                                                : statistics::ServiceCondition::kNormal);
+                    admission_.shed_fraction() > 0 ? statistics::ServiceCondition::kOverloaded
+                                                   : statistics::ServiceCondition::kNormal);
   }
   quota_.OnAttemptFinished(*request, good ? event.true_units : 0);
   if (request->stage == RequestStage::kFinished || good || event.final) return Finish(*request);
--- a/src/policy/counter_client.h
+++ b/src/policy/counter_client.h
@@ -48,7 +48,7 @@
 
   [[nodiscard]] bool IsDown() const { return outage_.IsDown(); }
   [[nodiscard]] bool IsLimited() const { return window_.IsLimited(); }
-  [[nodiscard]] double call_share() const { return window_.call_share(); }
+  [[nodiscard]] double call_fraction() const { return window_.call_fraction(); }
 
  private:
   [[nodiscard]] ReplyQuality Classify(const CounterEvent& event) const;
--- a/src/policy/counter_window.cpp
+++ b/src/policy/counter_window.cpp
@@ -8,10 +8,10 @@
 
 constexpr double kLimitDecrease = 0.7;  // factor
 
-// Factors of the share of requests that call: it settles where one call in eight fails.
-constexpr double kShareDecrease = 0.7;
-constexpr double kShareIncrease = 1.05;
-constexpr double kMinShare = 0.1;  // still calls when all fail, to see the counter return
+// Factors of the fraction of requests that call: it settles where one call in eight fails.
+constexpr double kFractionDecrease = 0.7;
+constexpr double kFractionIncrease = 1.05;
+constexpr double kMinFraction = 0.1;  // still calls when all fail, to see the counter return
 
 constexpr int kMaxFailures = 4;  // in a row
 constexpr Duration kCheckInterval = std::chrono::milliseconds(300);
@@ -20,16 +20,16 @@
 
 void CounterCallWindow::OnReply(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
   --open_calls_;
-  UpdateShare(quality, sent_at, now);
+  UpdateFraction(quality, sent_at, now);
   UpdateLimit(quality, sent_at, now);
 }
 
-void CounterCallWindow::UpdateShare(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
+void CounterCallWindow::UpdateFraction(ReplyQuality quality, TimePoint sent_at, TimePoint now) {
   if (quality == ReplyQuality::kFast || quality == ReplyQuality::kSlow) {
-    call_share_ = std::clamp(call_share_ * kShareIncrease, kMinShare, 1.0);
-  } else if (quality == ReplyQuality::kOverloaded && sent_at >= share_reduced_at_) {
-    call_share_ = std::clamp(call_share_ * kShareDecrease, kMinShare, 1.0);
-    share_reduced_at_ = now;
+    call_fraction_ = std::clamp(call_fraction_ * kFractionIncrease, kMinFraction, 1.0);
+  } else if (quality == ReplyQuality::kOverloaded && sent_at >= fraction_reduced_at_) {
+    call_fraction_ = std::clamp(call_fraction_ * kFractionDecrease, kMinFraction, 1.0);
+    fraction_reduced_at_ = now;
   }
 }
 
--- a/src/policy/customer_ledger.cpp
+++ b/src/policy/customer_account.cpp
@@ -1,4 +1,4 @@
-#include "policy/customer_ledger.h"
+#include "policy/customer_account.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,22 +13,22 @@
 
 }  // namespace
 
-QuotaPeriods CustomerLedger::Periods(const PlanSettings& plan) const {
+QuotaPeriods CustomerAccount::Periods(const PlanSettings& plan) const {
   const Duration refill_time = ToDuration(FloatSeconds(plan.burst / plan.rate));
   return {std::clamp(refill_time, kMinPeriod, kMaxCountLifetime / 2), phase_};
 }
 
-double CustomerLedger::Refill(const PlanSettings& plan, TimePoint now) {
+double CustomerAccount::Refill(const PlanSettings& plan, TimePoint now) {
   const FloatSeconds passed(std::max(Duration(0), now - refilled_at_));
   deficit_ = std::max(0.0, deficit_ - plan.rate * passed.count());
   refilled_at_ = std::max(refilled_at_, now);
   return deficit_;
 }
 
-void CustomerLedger::Credit(double units) { deficit_ = std::max(0.0, deficit_ - units); }
+void CustomerAccount::Credit(double units) { deficit_ = std::max(0.0, deficit_ - units); }
 
-double CustomerLedger::ObserveTotal(const PlanSettings& plan, TimePoint now, const CounterCall& call,
-                                    double total) {
+double CustomerAccount::ObserveTotal(const PlanSettings& plan, TimePoint now, const CounterCall& call,
+                                     double total) {
   const QuotaPeriods periods = Periods(plan);
   const bool is_later = call.period > period_;
   if (is_later && periods.Start(call.period) > now) return 0;  // borrowed units: charged once it begins
@@ -60,33 +60,33 @@
   return lost;
 }
 
-bool CustomerLedger::HasCapacityInPeriod(const PlanSettings& plan, TimePoint now) const {
+bool CustomerAccount::HasCapacityInPeriod(const PlanSettings& plan, TimePoint now) const {
   return period_ == Periods(plan).At(now) && last_total_ + deferred_ < plan.burst;
 }
 
-Duration CustomerLedger::WaitInPeriod(const PlanSettings& plan, TimePoint now, std::int64_t period,
-                                      double total) const {
+Duration CustomerAccount::WaitInPeriod(const PlanSettings& plan, TimePoint now, std::int64_t period,
+                                       double total) const {
   const Duration until_start = std::max(Duration(0), Periods(plan).Start(period) - now);
   const double carried = std::max(0.0, deficit_ - plan.rate * FloatSeconds(until_start).count());
   return until_start + ToDuration(FloatSeconds(std::max(0.0, carried + total - plan.burst) / plan.rate));
 }
 
-void CustomerLedger::AddDebt(const PlanSettings& plan, TimePoint now, double units, DeferredCharge kind) {
+void CustomerAccount::AddDebt(const PlanSettings& plan, TimePoint now, double units, DeferredCharge kind) {
   has_uncounted_ |= kind == DeferredCharge::kUncounted;
   if (deferred_ == 0) deferred_since_ = now;
   deferred_ += units;
   deficit_ = std::max(0.0, Refill(plan, now) + units);
 }
 
-void CustomerLedger::DropStaleRefund(const PlanSettings& plan, TimePoint now) {
+void CustomerAccount::DropStaleRefund(const PlanSettings& plan, TimePoint now) {
   if (deferred_ < 0 && period_ != Periods(plan).At(now)) deferred_ = 0;
 }
 
-void CustomerLedger::LimitDeferredToDeficit(const PlanSettings& plan, TimePoint now) {
+void CustomerAccount::LimitDeferredToDeficit(const PlanSettings& plan, TimePoint now) {
   deferred_ = std::min(deferred_, Refill(plan, now));
 }
 
-double CustomerLedger::TakeDeferred() {
+double CustomerAccount::TakeDeferred() {
   has_uncounted_ = false;
   return std::exchange(deferred_, 0.0);
 }
--- a/src/policy/customer_ledger.h
+++ b/src/policy/customer_account.h
@@ -3,8 +3,8 @@
 // The deficit is what is missing from a full burst; it refills at the plan's rate. The counter's totals carry
 // it on from period to period. A deferred charge is what this gateway has used, or not used, and the counter
 // does not know yet.
-#ifndef POSTSPREAD_POLICY_CUSTOMER_LEDGER_H_
-#define POSTSPREAD_POLICY_CUSTOMER_LEDGER_H_
+#ifndef POSTSPREAD_POLICY_CUSTOMER_ACCOUNT_H_
+#define POSTSPREAD_POLICY_CUSTOMER_ACCOUNT_H_
 
 #include <cstdint>
 
@@ -17,11 +17,11 @@
 // A correction of what was counted, or units that were admitted without a counter call.
 enum class DeferredCharge { kCorrection, kUncounted };
 
-class CustomerLedger {
+class CustomerAccount {
  public:
-  CustomerLedger() = default;
+  CustomerAccount() = default;
   // `phase` is a number that belongs to the customer.
-  CustomerLedger(std::uint64_t phase, TimePoint now) : phase_(phase), refilled_at_(now) {}
+  CustomerAccount(std::uint64_t phase, TimePoint now) : phase_(phase), refilled_at_(now) {}
 
   [[nodiscard]] QuotaPeriods Periods(const PlanSettings& plan) const;
 
@@ -80,4 +80,4 @@
 
 }  // namespace postspread::policy
 
-#endif  // POSTSPREAD_POLICY_CUSTOMER_LEDGER_H_
+#endif  // POSTSPREAD_POLICY_CUSTOMER_ACCOUNT_H_
--- a/src/policy/decision_context.h
+++ b/src/policy/decision_context.h
@@ -29,7 +29,7 @@
   [[nodiscard]] const Settings& settings() const { return settings_; }
   [[nodiscard]] Duration longest_objective() const { return longest_objective_; }
   // The settings of a class, for a request to keep; `class_index` must be in the settings.
-  [[nodiscard]] std::shared_ptr<const ClassSettings> ShareClass(std::size_t class_index) const {
+  [[nodiscard]] std::shared_ptr<const ClassSettings> ClassAt(std::size_t class_index) const {
     return classes_[class_index];
   }
   // A plan's settings; for a negative index, an unknown plan, none of its limits apply.
--- a/src/policy/quota.cpp
+++ b/src/policy/quota.cpp
@@ -13,11 +13,11 @@
 
 constexpr double kDelayOfObjective = 0.4;  // of the time left: room for a slow answer, not just a typical one
 constexpr double kTypicalLatenciesReserved = 1.5;
-constexpr double kClientRetryReserve = 0.35;  // of the burst: left to first attempts, which earn more
-constexpr double kAdmittedShareWeight = 0.1;  // of one counted request
-constexpr double kShedWeight = 2;             // where load is shed for long, uncounted requests go first
-constexpr double kChanceRetryAfter = 0.1;     // of the objective: one rejected by chance may still be in time
-constexpr FloatSeconds kCustomerMemory{30};   // of a customer without requests, for its demand
+constexpr double kClientRetryReserve = 0.35;     // of the burst: left to first attempts, which earn more
+constexpr double kAdmittedFractionWeight = 0.1;  // of one counted request
+constexpr double kShedWeight = 2;                // where load is shed for long, uncounted requests go first
+constexpr double kChanceRetryAfter = 0.1;    // of the objective: one rejected by chance may still be in time
+constexpr FloatSeconds kCustomerMemory{30};  // of a customer without requests, for its demand
 
 }  // namespace
 
@@ -66,7 +66,7 @@
   if (request.grant != QuotaGrant::kCounted) return;
   Customer* customer = FindCustomer(request.customer);
   if (customer == nullptr) return;
-  const std::int64_t current = customer->ledger.Periods(PlanOf(*customer)).At(context_.now());
+  const std::int64_t current = customer->account.Periods(PlanOf(*customer)).At(context_.now());
   if (request.borrowed_period > current && customer->borrowed.period() == request.borrowed_period) {
     customer->borrowed.Return(request.units);
   } else {
@@ -79,10 +79,10 @@
   for (auto it = customers_.begin(); it != customers_.end();) {
     Customer& customer = it->second;
     const PlanSettings& plan = PlanOf(customer);
-    const Duration refill_time = plan.rate > 0 ? customer.ledger.Periods(plan).length() : Duration(0);
+    const Duration refill_time = plan.rate > 0 ? customer.account.Periods(plan).length() : Duration(0);
     ChargeDeferred(it->first, customer);
-    if (customer.ledger.deferred() > 0 && customer.ledger.DeferredAge(now) > refill_time) {
-      customer.ledger.LimitDeferredToDeficit(plan, now);
+    if (customer.account.deferred() > 0 && customer.account.DeferredAge(now) > refill_time) {
+      customer.account.LimitDeferredToDeficit(plan, now);
     }
     const Duration idle = now - customer.last_request;
     if (idle > refill_time) customer.limiter.Deactivate();
@@ -97,12 +97,12 @@
   // What the call added for other requests that it stands for is not this request's.
   const double others = request.units * (request.charge_multiplier - 1);
   const double usable_burst = plan.burst * (request.is_client_retry ? 1 - kClientRetryReserve : 1);
-  const bool has_capacity = customer.ledger.deficit() - others <= usable_burst;
+  const bool has_capacity = customer.account.deficit() - others <= usable_burst;
   const double admitted = has_capacity ? 1.0 : 0.0;
-  customer.admitted_share += (admitted - customer.admitted_share) * kAdmittedShareWeight;
+  customer.admitted_fraction += (admitted - customer.admitted_fraction) * kAdmittedFractionWeight;
   if (!call.known_over_rate) {
-    double& share = admitted_shares_.Of(request);
-    share += (admitted - share) * kAdmittedShareWeight;
+    double& fraction = admitted_fractions_.Of(request);
+    fraction += (admitted - fraction) * kAdmittedFractionWeight;
   }
   const bool within_ceiling =
       plan.ceiling_rate <= 0 || total <= plan.burst || TryTakeFromCeiling(request, customer);
@@ -123,9 +123,9 @@
                                        Delayable delayable) {
   const PlanSettings& plan = PlanOf(customer);
   const TimePoint now = context_.now();
-  const double excess = std::max(0.0, customer.ledger.deficit() - others - plan.burst);
+  const double excess = std::max(0.0, customer.account.deficit() - others - plan.burst);
   const Duration delay = ToDuration(FloatSeconds(excess / plan.rate));
-  const QuotaPeriods periods = customer.ledger.Periods(plan);
+  const QuotaPeriods periods = customer.account.Periods(plan);
   const std::int64_t period = periods.At(now + delay);
   const bool can_delay =
       !request.is_client_retry && delay <= MaxDelay(request) && delayable == Delayable::kYes;
@@ -134,7 +134,7 @@
   AddDebt(customer, -request.units - others);
   // Where others have filled that count already, no call is made to learn it.
   const double borrowed_total = customer.borrowed.TotalOf(period) + request.units;
-  if (!can_delay || customer.ledger.WaitInPeriod(plan, now, period, borrowed_total) > MaxDelay(request)) {
+  if (!can_delay || customer.account.WaitInPeriod(plan, now, period, borrowed_total) > MaxDelay(request)) {
     return AdmissionDecision::Reject(std::max(delay, context_.settings().tick));
   }
   CallCounter(customer, CounterCall{.kind = CounterCallKind::kBorrow,
@@ -148,7 +148,7 @@
 AdmissionDecision Quota::DecideBorrowed(RequestState& request, Customer& customer, const CounterCall& call,
                                         double total) {
   const PlanSettings& plan = PlanOf(customer);
-  const Duration delay = customer.ledger.WaitInPeriod(plan, context_.now(), call.period, total);
+  const Duration delay = customer.account.WaitInPeriod(plan, context_.now(), call.period, total);
   customer.borrowed.ObserveTotal(call.period, total);
   if (delay <= MaxDelay(request) && total <= plan.burst) {
     request.borrowed_period = call.period;
@@ -163,7 +163,7 @@
   const TimePoint now = context_.now();
   const bool has_ceiling = plan.ceiling_rate > 0;
   const bool by_chance = HasSubRequestSlice(customer) && !has_ceiling;
-  const double deficit = customer.ledger.Refill(plan, now);
+  const double deficit = customer.account.Refill(plan, now);
   customer.limiter.Activate(plan, customer.gateways, deficit, context_.settings().max_units, now);
   const double chance = LocalAdmissionChance(request, customer);
   const bool fits_now = by_chance ? context_.Random() < chance : customer.limiter.Has(request.units);
@@ -174,7 +174,7 @@
   if (fits_later || (fits_now && (!has_ceiling || TryTakeFromCeiling(request, customer)))) {
     customer.limiter.Take(request.units);
     if (charge == CounterCharge::kPossible || by_chance || counter_.IsDown()) {
-      customer.ledger.Charge(request.units);
+      customer.account.Charge(request.units);
     } else {
       AddDebt(customer, request.units, DeferredCharge::kUncounted);
     }
@@ -200,12 +200,12 @@
   Customer& customer = customers_[request.customer];
   if (customer.plan_index != request.plan_index || customer.last_request.count() == 0) {
     customer = Customer{.plan_index = request.plan_index,
-                        .ledger = CustomerLedger(statistics::HashText(request.customer), now),
+                        .account = CustomerAccount(statistics::HashText(request.customer), now),
                         .limiter = LocalLimiter(now)};
   }
   customer.gateways = std::clamp(event.spread, 1, std::max(1, context_.settings().group_size));
   customer.last_request = now;
-  if (event.demand >= 0) customer.ledger.set_demand(event.demand);
+  if (event.demand >= 0) customer.account.set_demand(event.demand);
   return customer;
 }
 
@@ -219,12 +219,12 @@
 }
 
 double Quota::KnownExcess(const RequestState& request, const Customer& customer) const {
-  return customer.ledger.deficit() + request.units - PlanOf(customer).burst;
+  return customer.account.deficit() + request.units - PlanOf(customer).burst;
 }
 
 bool Quota::IsKnownFull(const RequestState& request, Customer& customer) {
   const PlanSettings& plan = PlanOf(customer);
-  customer.ledger.Refill(plan, context_.now());
+  customer.account.Refill(plan, context_.now());
   const double excess = KnownExcess(request, customer);
   return excess > 0 && plan.over_quota_weight <= plan.over_quota_cost &&
          ToDuration(FloatSeconds(excess / plan.rate)) > MaxDelay(request);
@@ -236,12 +236,12 @@
 
 double Quota::LocalAdmissionChance(const RequestState& request, const Customer& customer) {
   // On average the quota, however unevenly requests come over the gateways.
-  const double demand = customer.ledger.demand();
-  const double share =
-      demand > 0 ? std::min(customer.admitted_share, 1 / demand) : admitted_shares_.Of(request);
+  const double demand = customer.account.demand();
+  const double fraction =
+      demand > 0 ? std::min(customer.admitted_fraction, 1 / demand) : admitted_fractions_.Of(request);
   // Under pressure uncounted requests go first, before all are shed alike: they alone may be beyond a quota.
   const double pressure = admission_.Pressure(request.Class()) / kTargetPressure;
-  return share * std::clamp(2 - pressure - kShedWeight * admission_.shed_share(), 0.0, 1.0);
+  return fraction * std::clamp(2 - pressure - kShedWeight * admission_.shed_fraction(), 0.0, 1.0);
 }
 
 Duration Quota::MaxDelay(const RequestState& request) const {
@@ -265,7 +265,7 @@
 }
 
 void Quota::AddDebt(Customer& customer, double units, DeferredCharge kind) {
-  customer.ledger.AddDebt(PlanOf(customer), context_.now(), units, kind);
+  customer.account.AddDebt(PlanOf(customer), context_.now(), units, kind);
 }
 
 }  // namespace postspread::policy
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -13,7 +13,7 @@
 #include "policy/admission_decision.h"
 #include "policy/borrowed_units.h"
 #include "policy/counter_client.h"
-#include "policy/customer_ledger.h"
+#include "policy/customer_account.h"
 #include "policy/decision_context.h"
 #include "policy/local_limiter.h"
 #include "policy/request_state.h"
@@ -53,10 +53,10 @@
   struct Customer {
     int plan_index = -1;
     int gateways = 1;  // that the customer's requests come through
-    CustomerLedger ledger{};
+    CustomerAccount account{};
     BorrowedUnits borrowed{};
     LocalLimiter limiter{};
-    double admitted_share = 1.0;  // of its counted requests; totals lack what was refunded
+    double admitted_fraction = 1.0;  // of its counted requests; totals lack what was refunded
     int in_flight = 0;
     TimePoint last_request{0};
   };
@@ -66,8 +66,8 @@
 
   enum class Delayable { kNo, kYes };
 
-  // The mean share of counted requests that are admitted, for customers whose demand is unknown.
-  struct AdmittedShares {
+  // The mean fraction of counted requests that are admitted, for customers whose demand is unknown.
+  struct AdmittedFractions {
     double first = 0.7;
     double client_retry = 0.3;
     double& Of(const RequestState& request) { return request.is_client_retry ? client_retry : first; }
@@ -124,7 +124,7 @@
   const statistics::LatencyStatistics& latency_;
   CounterClient counter_;
   std::map<std::string, Customer> customers_;
-  AdmittedShares admitted_shares_;
+  AdmittedFractions admitted_fractions_;
 };
 
 }  // namespace postspread::policy
--- a/src/policy/quota_counter.cpp
+++ b/src/policy/quota_counter.cpp
@@ -34,12 +34,12 @@
 }
 
 void Quota::CallCounter(const Customer& customer, CounterCall call) {
-  const QuotaPeriods periods = customer.ledger.Periods(PlanOf(customer));
-  const Duration life =
+  const QuotaPeriods periods = customer.account.Periods(PlanOf(customer));
+  const Duration ttl =
       std::min(kMaxCountLifetime, periods.Start(call.period) + 2 * periods.length() - context_.now());
-  call.known_over_rate = customer.ledger.demand() > 1;
+  call.known_over_rate = customer.account.demand() > 1;
   const std::string name = CountName(call, customer.plan_index);
-  counter_.Add(name, std::max(life, periods.length()), std::move(call));
+  counter_.Add(name, std::max(ttl, periods.length()), std::move(call));
 }
 
 void Quota::StartCounterCall(RequestState& request, Customer& customer) {
@@ -48,10 +48,10 @@
   const bool sub_request = HasSubRequestSlice(customer);
   // Where slices are below a request the call stands for the requests that don't call; elsewhere what was
   // admitted uncounted is deferred to it.
-  request.charge_multiplier = plan.ceiling_rate > 0 || !sub_request ? 1 : 1 / counter_.call_share();
-  if (sub_request) customer.ledger.DropStaleRefund(plan, now);
-  const double deferred = customer.ledger.TakeDeferred();
-  const std::int64_t period = customer.ledger.Periods(plan).At(now);
+  request.charge_multiplier = plan.ceiling_rate > 0 || !sub_request ? 1 : 1 / counter_.call_fraction();
+  if (sub_request) customer.account.DropStaleRefund(plan, now);
+  const double deferred = customer.account.TakeDeferred();
+  const std::int64_t period = customer.account.Periods(plan).At(now);
   const double units = request.units * request.charge_multiplier - customer.borrowed.TakeReturned(period);
   CallCounter(customer, CounterCall{.kind = CounterCallKind::kCharge,
                                     .request = request.id,
@@ -68,7 +68,7 @@
   const bool may_be_added = result == CounterResult::kTimeout;
   const bool is_deferred = call.kind == CounterCallKind::kDeferredCharge;
   // What was surely not added is still to be charged; what may have been added is taken as added.
-  if (!may_be_added) customer->ledger.RestoreDeferred(is_deferred ? call.amount : call.precharged);
+  if (!may_be_added) customer->account.RestoreDeferred(is_deferred ? call.amount : call.precharged);
   if (request == nullptr || request->stage != RequestStage::kAwaitingCounter || is_deferred) {
     return AdmissionDecision::Pending();
   }
@@ -78,7 +78,7 @@
 AdmissionDecision Quota::OnCounterTotal(const CounterCall& call, double total, RequestState* request,
                                         Customer& customer) {
   customer.limiter.Deactivate();
-  const double lost = customer.ledger.ObserveTotal(PlanOf(customer), context_.now(), call, total);
+  const double lost = customer.account.ObserveTotal(PlanOf(customer), context_.now(), call, total);
   if (lost > 0) ChargeToCounter(customer, call.customer, call.period, lost);
   switch (call.kind) {
     case CounterCallKind::kCharge:
@@ -94,7 +94,7 @@
 AdmissionDecision Quota::OnChargeTotal(const CounterCall& call, double total, RequestState* request,
                                        Customer& customer) {
   // Gateways that don't call for every request learn the demand from those that do.
-  if (counter_.call_share() < 1) context_.Emit(ObservedUsage{call.customer, customer.ledger.demand()});
+  if (counter_.call_fraction() < 1) context_.Emit(ObservedUsage{call.customer, customer.account.demand()});
   if (request != nullptr && request->stage == RequestStage::kAwaitingCounter) {
     return DecideByTotal(*request, customer, call, total);
   }
@@ -103,7 +103,7 @@
   if (request == nullptr || request->grant != QuotaGrant::kLocal) {
     AddDebt(customer, -units);
   } else {
-    customer.ledger.Credit(units);
+    customer.account.Credit(units);
   }
   return AdmissionDecision::Pending();
 }
@@ -115,7 +115,7 @@
   }
   customer.borrowed.ObserveTotal(call.period, total);
   if (request != nullptr) {
-    customer.ledger.Credit(call.amount);  // sent meanwhile, and charged then
+    customer.account.Credit(call.amount);  // sent meanwhile, and charged then
   } else {
     customer.borrowed.Return(call.amount);
   }
@@ -124,20 +124,20 @@
 
 void Quota::ChargeDeferred(const std::string& name, Customer& customer) {
   const PlanSettings& plan = PlanOf(customer);
-  if (plan.rate <= 0 || !context_.settings().has_counter || counter_.call_share() < 1) return;
+  if (plan.rate <= 0 || !context_.settings().has_counter || counter_.call_fraction() < 1) return;
   const TimePoint now = context_.now();
   const bool sub_request = HasSubRequestSlice(customer);
   // Where slices are below a request it is told only if that makes capacity.
-  if (sub_request && !customer.ledger.HasCapacityInPeriod(plan, now)) return;
-  const bool any_unit = sub_request || customer.ledger.has_uncounted();
+  if (sub_request && !customer.account.HasCapacityInPeriod(plan, now)) return;
+  const bool any_unit = sub_request || customer.account.has_uncounted();
   const double least =
       any_unit ? kMinDeferredUnits : std::max(kMinDeferredUnits, plan.burst * kMinDeferredOfBurst);
-  const QuotaPeriods periods = customer.ledger.Periods(plan);
-  if (std::abs(customer.ledger.deferred()) < least ||
-      customer.ledger.DeferredAge(now) <= periods.length() / kDeferredRefillFraction) {
+  const QuotaPeriods periods = customer.account.Periods(plan);
+  if (std::abs(customer.account.deferred()) < least ||
+      customer.account.DeferredAge(now) <= periods.length() / kDeferredRefillFraction) {
     return;
   }
-  ChargeToCounter(customer, name, periods.At(now), customer.ledger.TakeDeferred());
+  ChargeToCounter(customer, name, periods.At(now), customer.account.TakeDeferred());
 }
 
 void Quota::ChargeToCounter(const Customer& customer, const std::string& name, std::int64_t period,
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -10,8 +10,8 @@
 
 namespace postspread::policy {
 
-// Further attempts are paid from a budget that each request adds a share to, so that a fault of many servers
-// does not multiply the traffic.
+// Further attempts are paid from a budget that each request adds a fraction to, so that a fault of many
+// servers does not multiply the traffic.
 class RetryBudget {
  public:
   void OnRequest();
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -9,7 +9,8 @@
 
 enum class SlowStartCause { kStart, kStartOrEjection };
 
-// The share of its full work that a server can surely do now: rises evenly to 1 over the slow-start duration.
+// The fraction of its full work that a server can surely do now: rises evenly to 1 over the slow-start
+// duration.
 [[nodiscard]] double SlowStartWeight(const Settings& settings, const Upstream& upstream, SlowStartCause cause,
                                      TimePoint now);
 
--- a/src/policy/upstream.h
+++ b/src/policy/upstream.h
@@ -12,7 +12,7 @@
 
 struct Upstream {
   ServerInfo info{};
-  bool listed = true;
+  bool in_endpoint_list = true;
   int in_flight = 0;  // this gateway's attempts
 
   FloatSeconds latency{0};  // mean over answers ...
--- a/src/policy/upstream_estimates.h
+++ b/src/policy/upstream_estimates.h
@@ -37,7 +37,7 @@
     TimePoint sampled_at{0};
   };
 
-  // The share of a latency's weight that its age leaves.
+  // The fraction of a latency's weight that its age leaves.
   [[nodiscard]] double Freshness(TimePoint sampled_at) const;
   // How many answers a server's own latency still stands for.
   [[nodiscard]] double FreshSamples(const Upstream& upstream) const;
--- a/src/policy/upstream_selector.cpp
+++ b/src/policy/upstream_selector.cpp
@@ -30,13 +30,13 @@
   if (available.empty()) return nullptr;
   Upstream& drawn =
       *available[static_cast<std::size_t>(context_.Random() * static_cast<double>(available.size()))];
-  if (TakesSlowStartShare(request, drawn)) return &drawn;
+  if (TakesSlowStartTraffic(request, drawn)) return &drawn;
   Upstream* preferred = SelectCheapest(request, drawn, Candidates::kPreferred);
   return preferred != nullptr ? preferred : SelectCheapest(request, drawn, Candidates::kAny);
 }
 
-bool UpstreamSelector::TakesSlowStartShare(const RequestState& request, const Upstream& drawn) {
-  // Where most are in slow start each gets more than its share, up to half of what overloads it.
+bool UpstreamSelector::TakesSlowStartTraffic(const RequestState& request, const Upstream& drawn) {
+  // Where most are in slow start each gets more than its fraction, up to half of what overloads it.
   const double boost = std::clamp(static_cast<double>(upstreams_.available().size()) /
                                       std::max(kMinTotalWeight, upstreams_.total_weight()),
                                   1.0, std::max(1.0, context_.settings().overload_multiple / 2));
--- a/src/policy/upstream_selector.h
+++ b/src/policy/upstream_selector.h
@@ -24,9 +24,9 @@
 
   // The server for the request's next attempt; null where none may take it.
   //
-  // One draw over all servers gives a server in slow start its weight's share of a full one's traffic, summed
-  // over any number of gateways. All else goes to the cheapest of a few full ones. Servers that are ejected,
-  // or that the request was sent to before, come in only where no other is left.
+  // One draw over all servers gives a server in slow start its weight's fraction of a full one's traffic,
+  // summed over any number of gateways. All else goes to the cheapest of a few full ones. Servers that are
+  // ejected, or that the request was sent to before, come in only where no other is left.
   [[nodiscard]] Upstream* Select(const RequestState& request);
 
   void OnAttemptStarted(Upstream& upstream) const;
@@ -35,7 +35,7 @@
  private:
   enum class Candidates { kPreferred, kAny };
 
-  [[nodiscard]] bool TakesSlowStartShare(const RequestState& request, const Upstream& drawn);
+  [[nodiscard]] bool TakesSlowStartTraffic(const RequestState& request, const Upstream& drawn);
   [[nodiscard]] Upstream* SelectCheapest(const RequestState& request, Upstream& drawn, Candidates candidates);
   [[nodiscard]] bool IsCandidate(const RequestState& request, const Upstream& upstream,
                                  Candidates candidates) const;
--- a/src/policy/upstream_set.cpp
+++ b/src/policy/upstream_set.cpp
@@ -8,7 +8,7 @@
 
 void UpstreamSet::OnEndpointList(const EndpointListEvent& event) {
   if (event.kind != EndpointListKind::kPartial) {
-    for (auto& [id, upstream] : upstreams_) upstream.listed = false;
+    for (auto& [id, upstream] : upstreams_) upstream.in_endpoint_list = false;
   }
   for (const ServerInfo& info : *event.servers) {
     Upstream& upstream = upstreams_[info.id];
@@ -17,14 +17,14 @@
       upstream = Upstream{.in_flight = upstream.in_flight, .waiting_since = context_.now()};
     }
     upstream.info = info;
-    upstream.listed = info.state != ServerState::kGone;
+    upstream.in_endpoint_list = info.state != ServerState::kGone;
   }
   Refresh();
 }
 
 void UpstreamSet::RunMaintenance() {
   for (auto it = upstreams_.begin(); it != upstreams_.end();) {
-    const bool forget = !it->second.listed && it->second.in_flight == 0;
+    const bool forget = !it->second.in_endpoint_list && it->second.in_flight == 0;
     it = forget ? upstreams_.erase(it) : std::next(it);
   }
   Refresh();
@@ -43,7 +43,7 @@
 Controller::UpstreamCounts UpstreamSet::Count(TimePoint now) const {
   Controller::UpstreamCounts counts;
   for (const auto& [id, upstream] : upstreams_) {
-    if (!upstream.listed) continue;
+    if (!upstream.in_endpoint_list) continue;
     ++counts.listed;
     if (upstream.IsAvoided(now)) ++counts.avoided;
   }
@@ -54,7 +54,7 @@
   available_.clear();
   total_weight_ = 0;
   for (auto& [id, upstream] : upstreams_) {
-    if (!upstream.listed || upstream.info.state != ServerState::kUp) continue;
+    if (!upstream.in_endpoint_list || upstream.info.state != ServerState::kUp) continue;
     available_.push_back(&upstream);
     total_weight_ +=
         SlowStartWeight(context_.settings(), upstream, SlowStartCause::kStartOrEjection, context_.now());
--- a/src/statistics/load_statistics.cpp
+++ b/src/statistics/load_statistics.cpp
@@ -75,8 +75,8 @@
   baseline_ = std::min(baseline_, kMaxBaselineOfObjective * longest_objective);
 }
 
-bool LoadStatistics::IsInFlightBelow(TimePoint now, double share) {
-  return busy_.value() < share * usual_in_flight_ * Memory(now).count();
+bool LoadStatistics::IsInFlightBelow(TimePoint now, double fraction) {
+  return busy_.value() < fraction * usual_in_flight_ * Memory(now).count();
 }
 
 bool LoadStatistics::IsUtilizationBelow(double utilization) const {
--- a/src/statistics/load_statistics.h
+++ b/src/statistics/load_statistics.h
@@ -45,8 +45,8 @@
   // Learns the baseline, and in normal condition the usual number of attempts in flight.
   void LearnBaseline(TimePoint now, ServiceCondition condition, FloatSeconds longest_objective);
 
-  // Whether fewer attempts are in flight than `share` of the usual number.
-  [[nodiscard]] bool IsInFlightBelow(TimePoint now, double share);
+  // Whether fewer attempts are in flight than `fraction` of the usual number.
+  [[nodiscard]] bool IsInFlightBelow(TimePoint now, double fraction);
   // Whether servers report less mean utilization than this; false where they report none.
   [[nodiscard]] bool IsUtilizationBelow(double utilization) const;
   // Answers within kTrafficMemory.
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -1,4 +1,4 @@
-// The life of a request: every one gets a final answer in time, whatever happens to it.
+// The ttl of a request: every one gets a final answer in time, whatever happens to it.
 #include <gtest/gtest.h>
 
 #include "test_gateway.h"
@@ -15,7 +15,7 @@
   EXPECT_EQ(gateway.rejects.size() + gateway.fails.size(), 1U);
 }
 
-TEST(Controller, RequestKeepsItsClassAndItsNumberOfAttemptsOverAReconfiguration) {
+TEST(Controller, RequestRetainsItsClassAndItsNumberOfAttemptsOverAReconfiguration) {
   TestGateway gateway;
   gateway.AddRequest(1, 1, {.class_name = kIdempotent});
   gateway.AddRequest(2, 1, {.class_name = kNonIdempotent});
--- a/tests/policy/counter_client_test.cpp
+++ b/tests/policy/counter_client_test.cpp
@@ -162,7 +162,7 @@
 }
 
 // An overload lets several calls time out together.
-TEST(CounterClient, OneOverloadReducesTheShareOfRequestsThatCallOnce) {
+TEST(CounterClient, OneOverloadReducesTheFractionOfRequestsThatCallOnce) {
   TestGateway gateway(SettingsWithAmpleQuota());
   RequestId id = 0;
   std::size_t calls = 0;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -29,6 +29,7 @@
   constexpr int kServers = 60;
   constexpr int kRequests = 60;
   std::vector<TestServer> servers;
+  servers.reserve(kServers);
   for (int i = 0; i < kServers; ++i) servers.push_back({"s" + std::to_string(100 + i), "a"});
   for (const int gateways : {3, 30, 300}) {
     std::size_t unanswered = 0;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -27,7 +27,7 @@
   return servers;
 }
 
-TEST(SlowStart, ServerGetsItsShareFromAnyNumberOfGateways) {
+TEST(SlowStart, ServerGetsItsPartFromAnyNumberOfGateways) {
   constexpr int kServers = 20;
   constexpr int kRequests = 12000;
   for (const int gateways : {3, 30, 600}) {
@@ -94,15 +94,15 @@
     gateway.SetEndpointList(Servers(started_servers, kRampServers, 0, start));
     std::exponential_distribution<double> gap_s(kLoad * kRampServers * kCapacity *
                                                 weights[static_cast<std::size_t>(rank)] / total_weight);
-    const TimePoint listed_at = start + milliseconds(random() % 2'000);
-    bool is_listed = false;
+    const TimePoint learns_at = start + milliseconds(random() % 2'000);
+    bool knows_start = false;
     RequestId id = 0;
     for (;;) {
       gateway.Advance(Duration(static_cast<std::int64_t>(1e6 * gap_s(random))));
       if (gateway.now > end) break;
-      if (!is_listed && gateway.now >= listed_at) {
+      if (!knows_start && gateway.now >= learns_at) {
         gateway.SetEndpointList(Servers(0, kRampServers, started_servers, start));
-        is_listed = true;
+        knows_start = true;
       }
       std::size_t next = gateway.sends.size();
       gateway.AddRequest(++id, 1);
--- a/tests/policy/test_gateway.h
+++ b/tests/policy/test_gateway.h
@@ -3,7 +3,6 @@
 #define POSTSPREAD_TESTS_POLICY_TEST_GATEWAY_H_
 
 #include <chrono>
-#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -85,7 +84,9 @@
   struct Timer {
     TimePoint due;
     std::uint64_t token;
-    auto operator<=>(const Timer&) const = default;
+    bool operator<(const Timer& other) const {
+      return due != other.due ? due < other.due : token < other.token;
+    }
   };
 
   void Record(const Action& action);
