--- a/src/flow/arrival_times.cpp
+++ b/src/flow/arrival_times.cpp
@@ -16,9 +16,9 @@
 
 void ArrivalTimes::Continued(std::size_t size, TimePoint when) {
   chunks_.clear();
-  const std::size_t whole = size_ + size;
+  const std::size_t total = size_ + size;
   size_ = 0;
-  Appended(whole, when);
+  Appended(total, when);
 }
 
 void ArrivalTimes::Consumed(std::size_t size) {
--- a/src/flow/byte_budget.cpp
+++ b/src/flow/byte_budget.cpp
@@ -10,14 +10,14 @@
   return true;
 }
 
-bool ByteBudget::Ask(Waiter& waiter, std::size_t bytes) {
+bool ByteBudget::TakeOrQueue(Waiter& waiter, std::size_t bytes) {
   if (line_.empty() && Take(bytes)) return true;
   line_.push_back({&waiter, bytes});
   return false;
 }
 
 void ByteBudget::Leave(Waiter& waiter) {
-  std::erase_if(line_, [&waiter](const QueueEntry& place) { return place.waiter == &waiter; });
+  std::erase_if(line_, [&waiter](const QueueEntry& entry) { return entry.waiter == &waiter; });
   Grant();
 }
 
@@ -27,7 +27,7 @@
   while (!line_.empty() && Take(line_.front().bytes)) {
     Waiter* waiter = line_.front().waiter;
     line_.pop_front();
-    waiter->Granted();  // may ask, give or leave
+    waiter->OnGranted();  // may call this budget
   }
 }
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -1,4 +1,4 @@
-// Bytes that may be held at once: who wants many waits its turn. No clock, no I/O.
+// Bounds the bytes that are held at once; large reservations wait in line. No clock, no I/O.
 #ifndef POSTSPREAD_FLOW_BYTE_BUDGET_H_
 #define POSTSPREAD_FLOW_BYTE_BUDGET_H_
 
@@ -9,10 +9,10 @@
 
 class ByteBudget {
  public:
-  // Who waits for bytes.
   class Waiter {
    public:
-    virtual void Granted() = 0;  // the bytes asked for are reserved
+    // The bytes that it queued for are reserved.
+    virtual void OnGranted() = 0;
 
    protected:
     ~Waiter() = default;
@@ -24,16 +24,16 @@
   [[nodiscard]] std::size_t used() const { return used_; }
   [[nodiscard]] std::size_t waiting() const { return line_.size(); }
 
-  // Reserves at once, past those that wait in line: for what is small or already in memory. False: no room.
+  // Reserves at once, ahead of the line: for what is small or already in memory. False: over the budget.
   bool Take(std::size_t bytes);
-  // Reserves now and returns true, or puts `waiter` at the end of the line: each gets its bytes in its turn,
-  // however many others want. `bytes` must not be more than the total; a waiter asks once at a time.
-  bool Ask(Waiter& waiter, std::size_t bytes);
-  // Leaves the line, and grants what that makes room for; nothing where it does not stand in it.
+  // Reserves now and returns true, or adds `waiter` to the end of the line: first come, first served,
+  // whatever the size. `bytes` must not exceed the total; a waiter queues once at a time.
+  bool TakeOrQueue(Waiter& waiter, std::size_t bytes);
+  // Removes `waiter` from the line, if it is there, and grants what that makes possible.
   void Leave(Waiter& waiter);
+  // Returns reserved bytes. Grants nothing, so that they can be taken again for another purpose.
   void Give(std::size_t bytes);
-  // Grants what can be granted, in order. Not done by Give, so that what is given can be taken in another
-  // form.
+  // Grants what can be granted, in order.
   void Grant();
 
  private:
--- a/src/flow/datagram_budget.h
+++ b/src/flow/datagram_budget.h
@@ -1,8 +1,8 @@
-// One budget for all datagrams to other gateways, whoever sends them: what the settings let a gateway
-// take in a second, each may cause among the others, too. No sockets and no clock.
+// One token bucket for all datagrams to other gateways, whatever they carry: a gateway causes no more of them
+// a second than the settings let a gateway receive. No sockets and no clock.
 //
-// Order of precedence: the membership view, then the store of keys, then what is told of customers. Who
-// comes later leaves a part of the budget to those before it.
+// Order of precedence: the membership view, the idempotency store, the broadcast of customers' usage. Each
+// leaves a part of the bucket to those before it.
 #ifndef POSTSPREAD_FLOW_DATAGRAM_BUDGET_H_
 #define POSTSPREAD_FLOW_DATAGRAM_BUDGET_H_
 
@@ -12,23 +12,24 @@
 
 namespace postspread::flow {
 
-enum class Datagram : std::uint8_t { kFleet, kKeys, kDemand };
+// In order of precedence.
+enum class DatagramKind : std::uint8_t { kMembership, kIdempotency, kUsage };
 
 class DatagramBudget {
  public:
-  // `per_second`: datagrams that one gateway takes in; 0: no bound is known, and none is kept.
+  // `per_second`: datagrams that one gateway receives; 0: unlimited.
   explicit DatagramBudget(double per_second) : per_second_(per_second), tokens_(per_second) {}
 
-  // Whether a datagram to so many gateways may go now. One to many may take more than is left, and then
-  // the next ones wait for it.
-  bool Take(Datagram datagram, std::size_t receivers, std::chrono::steady_clock::time_point now);
-  void SetPace(double per_second) { per_second_ = per_second; }
+  // Whether a datagram to so many gateways may be sent now. One to many may take more tokens than are left:
+  // the following ones wait until they are refilled.
+  bool Take(DatagramKind kind, std::size_t receivers, std::chrono::steady_clock::time_point now);
+  void SetRate(double per_second) { per_second_ = per_second; }
   [[nodiscard]] std::uint64_t held_back() const { return held_back_; }
 
  private:
   double per_second_;
   double tokens_;
-  std::chrono::steady_clock::time_point filled_{};
+  std::chrono::steady_clock::time_point refilled_{};
   std::uint64_t held_back_ = 0;
 };
 
--- a/src/flow/eviction.cpp
+++ b/src/flow/eviction.cpp
@@ -3,27 +3,36 @@
 namespace postspread::flow {
 namespace {
 
-constexpr std::chrono::milliseconds kFirstWord{
-    500};  // in which a new client's first bytes may be on their way
-constexpr std::chrono::milliseconds kTrueHead{2'050};  // a true client's head has come by then
-// Between two bytes of a true client that is slow: it writes steadily. One that stood still for longer is the
-// likelier of two not to go on.
-constexpr std::chrono::milliseconds kSteady{250};
+using std::chrono::milliseconds;
+
+constexpr milliseconds kFirstBytes{500};  // a new client's may be on their way for so long
+constexpr milliseconds kHead{2'050};      // a sound client's head of a command has arrived by then
+// Between two bytes of a slow client that goes on writing. After a longer pause it is less likely to finish.
+constexpr milliseconds kSteadyWriter{250};
+
+enum Order {
+  kDelivered,
+  kOverdueHead,
+  kNeverUsed,
+  kIdle,
+  kStalledCommand,
+  kNew,
+};
 
 }  // namespace
 
-std::optional<EvictionRank> RankForEviction(const ConnectionState& h) {
-  if (h.done) return EvictionRank{0, -h.used};
-  if (h.owed) return std::nullopt;
-  if (h.begun) {
-    if (h.working >= kTrueHead) return EvictionRank{1, -h.working};
-    if (h.silent >= kSteady) return EvictionRank{4, -h.silent};
+std::optional<EvictionRank> RankForEviction(const ConnectionState& connection) {
+  if (connection.is_delivered) return EvictionRank{kDelivered, -connection.since_command};
+  if (connection.is_pending) return std::nullopt;
+  if (connection.has_partial) {
+    if (connection.since_partial >= kHead) return EvictionRank{kOverdueHead, -connection.since_partial};
+    if (connection.since_byte >= kSteadyWriter) return EvictionRank{kStalledCommand, -connection.since_byte};
     return std::nullopt;
   }
-  // Closed between requests, a client that has asked dials again; one that has said nothing never was one.
-  if (!h.asked && h.used >= kFirstWord) return EvictionRank{2, -h.used};
-  if (h.asked) return EvictionRank{3, -h.used};
-  return EvictionRank{5, -h.used};
+  // A client that has sent requests reconnects when it needs to; one that has sent nothing may never do.
+  if (connection.has_requested) return EvictionRank{kIdle, -connection.since_command};
+  if (connection.since_command >= kFirstBytes) return EvictionRank{kNeverUsed, -connection.since_command};
+  return EvictionRank{kNew, -connection.since_command};
 }
 
 }  // namespace postspread::flow
--- a/src/flow/eviction.h
+++ b/src/flow/eviction.h
@@ -1,5 +1,5 @@
-// Who goes where connections are scarce, so that a crowd that never finishes a request does not keep out the
-// clients that do. No clock, no I/O: how long each has been at it is handed in.
+// Which client connection is evicted when descriptors are scarce, so that many clients that never complete a
+// request do not lock out those that do. No clock, no I/O: times are handed in.
 #ifndef POSTSPREAD_FLOW_EVICTION_H_
 #define POSTSPREAD_FLOW_EVICTION_H_
 
@@ -9,27 +9,27 @@
 
 namespace postspread::flow {
 
-// One connection as this choice sees it.
+// A connection as eviction sees it.
 struct ConnectionState {
-  bool done = false;                     // answered to the end, and waits for its client to close
-  bool owed = false;                     // owes an answer, or has one that is still being taken: never goes
-  bool asked = false;                    // a sound request has come over it before
-  bool begun = false;                    // a command has begun to come
-  std::chrono::milliseconds used{0};     // since its last command, or since it connected
-  std::chrono::milliseconds working{0};  // since the first byte of the command that has begun
-  std::chrono::milliseconds silent{0};   // since its last byte
+  bool is_delivered = false;   // all responses are acknowledged; lingers until its client closes
+  bool is_pending = false;     // a response is pending or being read by its client: never evicted
+  bool has_requested = false;  // a valid request has come over it before
+  bool has_partial = false;    // a command has begun to arrive
+  std::chrono::milliseconds since_command{0};  // since its last command, or since it connected
+  std::chrono::milliseconds since_partial{0};  // since the first byte of the command that has begun
+  std::chrono::milliseconds since_byte{0};     // since its last byte
 };
 
-// The lower of two goes first.
+// The lowest rank is evicted first.
 struct EvictionRank {
   int order = 0;
-  std::chrono::milliseconds left{0};  // minus how long it has been at it
+  std::chrono::milliseconds age{0};  // negated: within one order the oldest goes first
   auto operator<=>(const EvictionRank&) const =
       default;  // NOLINT(modernize-use-nullptr): taken for a comparison with 0
 };
 
-// Nothing: it stays in any case.
-std::optional<EvictionRank> RankForEviction(const ConnectionState& holder);
+// Nothing: the connection is not evicted.
+std::optional<EvictionRank> RankForEviction(const ConnectionState& connection);
 
 }  // namespace postspread::flow
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// postspread's gateway: wiring, signals and exit codes.
+// The gateway's program: command line, configuration files, signals and exit codes.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -26,50 +26,50 @@
 namespace net = postspread::net;
 namespace operator_file = postspread::operator_file;
 
-constexpr int kExitFailure = 1;  // could not start or go on
-constexpr int kExitConfig = 2;   // the configuration is wrong
+constexpr int kExitFailure = 1;  // can't start, or can't go on
+constexpr int kExitConfig = 2;   // the configuration is invalid
 
-const char* Variable(const char* name) { return std::getenv(name); }
+const char* ReadVariable(const char* name) { return std::getenv(name); }
 
 constexpr std::string_view kVariablePrefix = "ROUTER_";
 constexpr std::string_view kKnownVariables[] = {"ROUTER_CONFIG", "ROUTER_DISCOVERY", "ROUTER_FD",
                                                 "ROUTER_LISTEN", "ROUTER_NAME",      "ROUTER_OPS"};
 
-// The variables with the program's prefix that nothing here reads.
+// The variables with the program's prefix that it does not know.
 std::vector<std::string> UnknownVariables() {
-  std::vector<std::string> out;
+  std::vector<std::string> unknown;
   for (char** variable = environ; *variable != nullptr; ++variable) {
     const std::string_view text(*variable);
     const std::string_view name = text.substr(0, text.find('='));
     if (!name.starts_with(kVariablePrefix)) continue;
     const bool known =
         std::find(std::begin(kKnownVariables), std::end(kKnownVariables), name) != std::end(kKnownVariables);
-    if (!known) out.emplace_back(name);
+    if (!known) unknown.emplace_back(name);
   }
-  return out;
+  return unknown;
 }
 
-std::string Joined(const std::vector<std::string>& words) {
-  std::string out;
-  for (const std::string& update : words) out += (out.empty() ? "" : ", ") + update;
-  return out;
+std::string Join(const std::vector<std::string>& words) {
+  std::string joined;
+  for (const std::string& word : words) joined += (joined.empty() ? "" : ", ") + word;
+  return joined;
 }
 
-// Says what an operator may believe to be in force and is not.
+// Logs settings that have no effect, as an operator may believe otherwise.
 void LogUnknown(const config::Config& config) {
-  if (!config.unknown_keys.empty()) net::Log("configuration keys not read", Joined(config.unknown_keys));
+  if (!config.unknown_keys.empty()) net::Log("unknown configuration keys", Join(config.unknown_keys));
   const std::vector<std::string> variables = UnknownVariables();
-  if (!variables.empty()) net::Log("variables not read", Joined(variables));
+  if (!variables.empty()) net::Log("unknown variables", Join(variables));
 }
 
-std::string Partners(const config::Config& config) {
+std::string DescribeAddresses(const config::Config& config) {
   return "discovery " + config.discovery.text() +
          (config.counter ? ", counter " + config.counter->text() : "");
 }
 
-// What the command line says; without a word on it the program does as it did before it had one.
+// Of the command line.
 struct Options {
-  std::string operator_path;  // empty: none
+  std::string operator_path;  // empty: no operator file
   bool check_only = false;
   net::LogFormat log_format = net::LogFormat::kText;
 };
@@ -85,8 +85,8 @@
   throw config::ConfigError(std::string(key) + " is \"" + text + "\": an IPv4 address and port are wanted");
 }
 
-// What neither file shows by itself.
-void CheckTogether(const config::Config& config, const operator_file::OperatorFile& operators) {
+// Checks across both files. Throws config::ConfigError.
+void CheckConsistency(const config::Config& config, const operator_file::OperatorFile& operators) {
   const postspread::membership::Limits& membership = operators.membership;
   if (membership.enabled) {
     if (config.name.empty() || config.name.size() > postspread::membership::kMaxName) {
@@ -110,20 +110,20 @@
   config::ToPeers(config);
 }
 
-// Only in the build that tests use to see that they tell: the defence that the environment switches off.
-postspread::membership::DisabledDefense Switched() {
+// In the build for tests the environment may disable a defense, to show that the tests depend on it.
+postspread::membership::DisabledDefense DisabledDefenseOfBuild() {
   using postspread::membership::DisabledDefense;
 #ifdef POSTSPREAD_SWITCHES
-  const std::map<std::string, DisabledDefense> words{{"refutation", DisabledDefense::kRefutation},
-                                                     {"lives", DisabledDefense::kIncarnations},
-                                                     {"local-health", DisabledDefense::kLocalHealth},
-                                                     {"asking-again", DisabledDefense::kAskingAgain},
-                                                     {"order", DisabledDefense::kOrder},
-                                                     {"budget", DisabledDefense::kBudget},
-                                                     {"knocking", DisabledDefense::kKnocking},
-                                                     {"help", DisabledDefense::kHelp}};
-  const char* update = Variable("POSTSPREAD_WITHOUT");
-  if (update != nullptr) return words.at(update);
+  const std::map<std::string, DisabledDefense> defenses{{"refutation", DisabledDefense::kRefutation},
+                                                        {"lives", DisabledDefense::kIncarnations},
+                                                        {"local-health", DisabledDefense::kLocalHealth},
+                                                        {"asking-again", DisabledDefense::kAskingAgain},
+                                                        {"order", DisabledDefense::kOrder},
+                                                        {"budget", DisabledDefense::kBudget},
+                                                        {"knocking", DisabledDefense::kKnocking},
+                                                        {"help", DisabledDefense::kHelp}};
+  const char* name = ReadVariable("POSTSPREAD_WITHOUT");
+  if (name != nullptr) return defenses.at(name);
 #endif
   return DisabledDefense::kNothing;
 }
@@ -133,15 +133,16 @@
   std::optional<net::GatewayServer> gateway;
 };
 
-// Both files are decoded whole first: where one is wrong, all stays as it is.
+// Both files are decoded completely first: where one is invalid, nothing changes.
 void Reload(Program& program) {
   try {
-    const config::Config config = config::Reload(Variable, program.gateway->config());
+    const config::Config config = config::Reload(ReadVariable, program.gateway->config());
     const operator_file::OperatorFile operators = ReadOperatorFile(program.options);
-    CheckTogether(config, operators);
-    const bool more = program.gateway->Reload(config, operators);
-    net::Log("configuration read again", Partners(config));
-    if (more) net::Log("configuration changed beyond that", "the rest holds from the next start on");
+    CheckConsistency(config, operators);
+    const net::ReloadResult result = program.gateway->Reload(config, operators);
+    net::Log("configuration read again", DescribeAddresses(config));
+    if (result == net::ReloadResult::kNeedsRestart)
+      net::Log("configuration changed beyond that", "the rest holds from the next start on");
   } catch (const std::exception& error) {
     program.gateway->ReloadFailed();
     net::Log("new configuration is wrong, the old one stays", error.what());
@@ -152,8 +153,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   const net::EventBase base = net::MakeEventBase();
   Program program{options, std::nullopt};
-  // Caught before the file is read, so that no signal ends the program or is missed on the way up: the loop
-  // calls back only once it runs.
+  // Before the files are read, so that no signal ends the program or is missed during the start. The
+  // callbacks run once the event loop does.
   const auto on_stop = [](evutil_socket_t, short, void* self) {
     static_cast<Program*>(self)->gateway->Stop();
   };
@@ -165,22 +166,22 @@
     const auto add = [handle] { return event_add(handle->get(), nullptr) == 0; };
     if (!net::OpenWithRetries(add)) throw std::runtime_error("no signal can be caught");
   }
-  const config::Config config = config::Load(Variable);
+  const config::Config config = config::Load(ReadVariable);
   const operator_file::OperatorFile operators = ReadOperatorFile(options);
-  CheckTogether(config, operators);
-  program.gateway.emplace(base.get(), config, operators, Switched());
+  CheckConsistency(config, operators);
+  program.gateway.emplace(base.get(), config, operators, DisabledDefenseOfBuild());
   net::Log("started", config.name + " on " + config.listen.text());
   net::Log("admin listener", config.ops ? config.ops->text() : "none is configured");
   LogUnknown(config);
   event_base_dispatch(base.get());
-  net::Log("stopped", "all that was taken is answered");
+  net::Log("stopped", "all requests have their responses");
   return EXIT_SUCCESS;
 }
 
-// Reads and checks both files as a start would, and serves nothing.
+// Reads and checks both files as a start does, and serves nothing.
 int Check(const Options& options) {
-  const config::Config config = config::Load(Variable);
-  CheckTogether(config, ReadOperatorFile(options));
+  const config::Config config = config::Load(ReadVariable);
+  CheckConsistency(config, ReadOperatorFile(options));
   net::Log("configuration is sound", config.name + " on " + config.listen.text());
   return EXIT_SUCCESS;
 }
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -1,7 +1,5 @@
 #include "net/admin_server.h"
 
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -16,11 +14,11 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kTimeout{5'000};  // for a caller's head, and for it to take the answer
-constexpr std::chrono::milliseconds kLinger{1'000};   // for a caller to close after the answer
-constexpr std::chrono::milliseconds kWatchAgain{50};  // until the system is asked again to watch a socket
+constexpr std::chrono::milliseconds kCallTimeout{5'000};  // for the head of a call, and to read the response
+constexpr std::chrono::milliseconds kLingerTimeout{1'000};  // for a caller to close after the response
+constexpr std::chrono::milliseconds kWatchRetry{50};
 constexpr int kBacklog = 64;
-constexpr int kAcceptsATurn = 8;
+constexpr int kMaxAcceptsPerTurn = 8;
 constexpr int kNotFound = 404;
 constexpr int kWrongMethod = 405;
 
@@ -29,88 +27,80 @@
 class AdminServer::AdminConnection {
  public:
   AdminConnection(AdminServer& admin_server, evutil_socket_t fd)
-      : admin_server_(admin_server), timer_(admin_server.base_, [this] { TimedOut(); }) {
-    const int one = 1;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    connection_.reset(bufferevent_socket_new(admin_server.base_, fd, BEV_OPT_CLOSE_ON_FREE));
-    if (!connection_) {
-      evutil_closesocket(fd);
-      throw std::bad_alloc();
-    }
+      : admin_server_(admin_server),
+        connection_(AdoptSocket(admin_server.base_, fd)),
+        timer_(admin_server.base_, [this] { OnTimeout(); }) {
     bufferevent_priority_set(connection_.get(), kUrgent);
-    bufferevent_setcb(
-        connection_.get(), [](bufferevent*, void* self) { static_cast<AdminConnection*>(self)->Read(); },
-        [](bufferevent*, void* self) { static_cast<AdminConnection*>(self)->Written(); },
-        [](bufferevent*, short what, void* self) {
-          auto* connection = static_cast<AdminConnection*>(self);
-          if (IsPassingError(what)) return connection->admin_server_.WatchAll();
-          if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0)
-            connection->Gone((what & BEV_EVENT_ERROR) != 0);
-        },
-        this);
+    SetCallbacks<&AdminConnection::OnRead, &AdminConnection::OnWritten, &AdminConnection::OnEvent>(
+        connection_.get(), this);
     bufferevent_setwatermark(connection_.get(), EV_READ, 0, http::RequestParser::kMaxHead);
-    timer_.Arm(kTimeout);
+    timer_.Arm(kCallTimeout);
   }
-  // False: the system refused to watch it, and it would be deaf.
-  bool Watched() { return Watch(connection_.get()); }
+  // As net::Watch.
+  bool EnsureWatched() { return Watch(connection_.get()); }
 
  private:
-  void Read() {
-    if (answered_) return Consume(connection_.get(), ReadSize(connection_.get()));  // a body nobody asked for
+  void OnRead() {
+    // After the response only a body can come, which no call has.
+    if (has_responded_) return Consume(connection_.get(), ReadSize(connection_.get()));
     while (ReadSize(connection_.get()) > 0 && !parser_.done() && !parser_.broken()) {
       Consume(connection_.get(), parser_.Feed(PeekFirst(connection_.get())));
     }
     if (parser_.broken()) {
-      admin_server_.malformed_("admin call malformed", parser_.error());
-      return Answer({.status = 400, .body = std::string(parser_.error()) + "\n", .allow = {}});
+      admin_server_.malformed_log_("admin call malformed", parser_.error());
+      return Respond({.status = 400, .body = std::string(parser_.error()) + "\n", .allow = {}});
     }
     if (!parser_.done()) return;
-    const ops::Answer answer = ops::Call(parser_.method(), parser_.target(), admin_server_.handler_);
-    admin_server_.LogCall(parser_.method() + " " + parser_.target(), answer);
-    Answer(answer);
+    const ops::AdminResponse response = ops::Call(parser_.method(), parser_.target(), admin_server_.handler_);
+    admin_server_.LogCall(parser_.method() + " " + parser_.target(), response);
+    Respond(response);
   }
 
-  void Answer(const ops::Answer& answer) {
-    answered_ = true;
-    Write(connection_.get(), http::Response(answer.status, answer.body, answer.allow));
-    if (Unwritten(connection_.get()) == 0) Written();
+  void Respond(const ops::AdminResponse& response) {
+    has_responded_ = true;
+    Write(connection_.get(), http::Response(response.status, response.body, response.allow));
+    if (Unwritten(connection_.get()) == 0) OnWritten();
   }
 
-  // Our side is shut, and what still comes is read until the caller closes: closed with bytes unread the
-  // socket would be reset, and the answer with it.
-  void Written() {
-    if (!answered_ || std::exchange(shut_, true)) return;
+  // A lingering close: closed with bytes unread the socket would be reset, and the response lost.
+  void OnWritten() {
+    if (!has_responded_ || is_shut_down_) return;
+    is_shut_down_ = true;
     shutdown(bufferevent_getfd(connection_.get()), SHUT_WR);
     Consume(connection_.get(), ReadSize(connection_.get()));
-    timer_.Arm(kLinger);
+    timer_.Arm(kLingerTimeout);
   }
 
-  void TimedOut() {
-    if (answered_) return admin_server_.Remove(this);
-    admin_server_.unfinished_("admin call not finished", "no whole call in time");
-    Answer({.status = 408, .body = "the call was not finished in time\n", .allow = {}});
-    if (!shut_) timer_.Arm(kLinger);
+  void OnTimeout() {
+    if (has_responded_) return admin_server_.Remove(this);
+    admin_server_.incomplete_log_("admin call incomplete", "timed out");
+    Respond({.status = 408, .body = "the call was not finished in time\n", .allow = {}});
+    if (!is_shut_down_) timer_.Arm(kLingerTimeout);
   }
 
-  // A caller that has shut its side may still read: what it is owed goes out first.
-  void Gone(bool error) {
-    if (!answered_)
-      admin_server_.unfinished_("admin call not finished",
-                                error ? "connection reset" : "closed by the caller");
-    if (error || !answered_ || shut_) admin_server_.Remove(this);
+  void OnEvent(short what) {
+    if (IsPassingError(what)) return admin_server_.WatchAll();
+    const bool is_reset = (what & BEV_EVENT_ERROR) != 0;
+    if (!is_reset && (what & BEV_EVENT_EOF) == 0) return;
+    if (!has_responded_) {
+      const char* reason = is_reset ? "connection reset" : "closed by the caller";
+      admin_server_.incomplete_log_("admin call incomplete", reason);
+    }
+    // A caller that has shut its side down may still read the response.
+    if (is_reset || !has_responded_ || is_shut_down_) admin_server_.Remove(this);
   }
 
   AdminServer& admin_server_;
   BufferEvent connection_;
   Timer timer_;
   http::RequestParser parser_;
-  bool answered_ = false;
-  bool shut_ = false;
+  bool has_responded_ = false;
+  bool is_shut_down_ = false;
 };
 
 AdminServer::AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler)
-    : base_(base), handler_(handler), watch_again_(base, [this] { WatchAll(); }) {
-  // Not evconnlistener: it has no priority, and a call must be let in however busy the loop is.
+    : base_(base), handler_(handler), watch_retry_(base, [this] { WatchAll(); }) {
+  // Not evconnlistener: it has no priority, and calls must be accepted however busy the loop is.
   OpenWithRetries([&] {
     fd_ = socket(listen.get()->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     return fd_ >= 0;
@@ -133,43 +123,43 @@
   close(fd_);
 }
 
-// A socket that the system refuses to watch would be deaf for good, and a call on it lost: it is asked again.
+// The system may refuse to watch a socket for a moment: it is asked again, or a call would be lost.
 void AdminServer::WatchAll() {
   bool watched = event_add(accept_.get(), nullptr) == 0;
-  for (const auto& connection : connections_) watched = connection->Watched() && watched;
+  for (const auto& connection : connections_) watched = connection->EnsureWatched() && watched;
   if (watched) return;
-  accept_failed_("can't watch a socket", "of the admin listener");
-  watch_again_.Arm(kWatchAgain);
+  accept_failed_log_("can't watch a socket", "of the admin listener");
+  watch_retry_.Arm(kWatchRetry);
 }
 
 void AdminServer::Accept() {
-  for (int i = 0; i < kAcceptsATurn; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     const evutil_socket_t fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
       const int error = errno;
-      if (error != EAGAIN && error != EINTR) accept_failed_("admin accept failed", std::strerror(error));
+      if (error != EAGAIN && error != EINTR) accept_failed_log_("admin accept failed", std::strerror(error));
       return;
     }
-    // Silent callers must not keep out a true one, which says at once what it wants.
+    // Callers that send nothing must not lock out others.
     if (connections_.size() >= config::kAdminConnections) {
-      unfinished_("admin call not finished", "made room for another caller");
+      incomplete_log_("admin call incomplete", "evicted for another caller");
       connections_.pop_front();
     }
     connections_.push_back(std::make_unique<AdminConnection>(*this, fd));
-    if (!connections_.back()->Watched()) watch_again_.Arm(kWatchAgain);
+    if (!connections_.back()->EnsureWatched()) watch_retry_.Arm(kWatchRetry);
   }
 }
 
-// Each call that may change something, and what names no call; readiness checks and scrapes come all the
-// time.
-void AdminServer::LogCall(const std::string& call, const ops::Answer& answer) {
-  const std::string line = call + ": " + std::to_string(answer.status);
+// Logs each call that may change something, and those that name none; not readiness checks and scrapes, which
+// come all the time.
+void AdminServer::LogCall(const std::string& call, const ops::AdminResponse& response) {
+  const std::string line = call + ": " + std::to_string(response.status);
   if (!call.starts_with("GET ")) return Log("admin call", line);
-  if (answer.status == kNotFound || answer.status == kWrongMethod) malformed_("admin call", line);
+  if (response.status == kNotFound || response.status == kWrongMethod) malformed_log_("admin call", line);
 }
 
 void AdminServer::Remove(AdminConnection* connection) {
-  connections_.remove_if([connection](const auto& c) { return c.get() == connection; });
+  connections_.remove_if([connection](const auto& each) { return each.get() == connection; });
 }
 
 }  // namespace postspread::net
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,5 +1,5 @@
-// The admin server: a second address, HTTP/1.1, one call to a connection. What a call means:
-// src/ops/calls.h.
+// The operators' calls over HTTP/1.1 at an address of their own, one call a connection. What a call means:
+// src/ops/admin_calls.h.
 #ifndef POSTSPREAD_NET_ADMIN_SERVER_H_
 #define POSTSPREAD_NET_ADMIN_SERVER_H_
 
@@ -16,8 +16,8 @@
 
 class AdminServer {
  public:
-  // Holds config::kAdminConnections at once; where one more comes, the one that has been here longest goes.
-  // Throws std::runtime_error where the address can't be listened on.
+  // At most config::kAdminConnections are open: one more evicts the oldest. Throws std::runtime_error where
+  // it can't listen.
   AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
@@ -29,15 +29,17 @@
   void WatchAll();
   void Accept();
   void Remove(AdminConnection* connection);
-  void LogCall(const std::string& call, const ops::Answer& answer);
+  void LogCall(const std::string& call, const ops::AdminResponse& response);
 
   event_base* base_;
   ops::AdminHandler& handler_;
   int fd_ = -1;
   EventHandle accept_;
-  Timer watch_again_;
-  std::list<std::unique_ptr<AdminConnection>> connections_;  // the longest here first
-  RareLog unfinished_, malformed_, accept_failed_;
+  Timer watch_retry_;
+  std::list<std::unique_ptr<AdminConnection>> connections_;  // the oldest first
+  RareLog incomplete_log_;
+  RareLog malformed_log_;
+  RareLog accept_failed_log_;
 };
 
 }  // namespace postspread::net
--- a/src/net/downstream/client_connection.h
+++ b/src/net/downstream/client_connection.h
@@ -1,21 +1,22 @@
-// One connection of a client: reads its commands, keeps its answers in order, and ends when src/safety/
-// allows it. Its states: docs/design.md.
+// One client connection: dispatches its commands, writes their responses in order, and closes when the rules
+// of src/safety/ allow it. Its states: docs/design.md.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
 
 #include <chrono>
 #include <cstddef>
-#include <deque>
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <unordered_set>
 
-#include "flow/arrival_times.h"
-#include "flow/byte_budget.h"
 #include "flow/eviction.h"
+#include "net/downstream/command_reader.h"
+#include "net/downstream/connection_context.h"
+#include "net/downstream/lingering_close.h"
 #include "net/downstream/request_handler.h"
+#include "net/downstream/response_sender.h"
+#include "net/downstream/scheduled_close.h"
+#include "net/downstream/write_timeout.h"
 #include "net/log.h"
 #include "net/loop.h"
 #include "ops/metrics.h"
@@ -24,211 +25,144 @@
 
 namespace postspread::net {
 
-// What all connections of a listener share.
-struct ConnectionContext {
-  event_base* base;
-  resp::Vocabulary vocabulary;  // what commands are checked against
-  flow::ByteBudget& bodies;     // what large commands are read under
-  ops::Metrics& metrics;
-  RequestHandler& handler;
-  // Ids of requests that are owed an answer, by hash: another one under such an id is a fault of its client,
-  // and passed on it could run in the other's place.
-  std::unordered_set<std::size_t> open_ids{};
-  RareLog turned_down{};  // commands that are answered with an error
+// When a connection without pending responses is closed as idle.
+struct IdlePolicy {
+  bool many_open = false;          // then a short idle time suffices for any connection
+  Clock::time_point unused_since;  // one last used at this time or before is closed
 };
 
-class ClientConnection final : public ResponseWriter, private flow::ByteBudget::Waiter {
+class ClientConnection final : public ResponseWriter {
  public:
-  // Who holds the connections.
   class Owner {
    public:
-    // Ends the connection; it is gone when this returns.
+    // Destroys the connection.
     virtual void Remove(ClientConnection* connection) = 0;
-    // Reading of a connection is paused with more behind it: its end is to be looked for.
+    // Reading is paused with more bytes to read: a disconnect is not seen unless it is checked for.
     virtual void WatchForDisconnect() = 0;
 
    protected:
     ~Owner() = default;
   };
 
+  // Takes the descriptor over. Throws std::bad_alloc.
   ClientConnection(ConnectionContext& context, Owner& owner, evutil_socket_t fd);
-
   ~ClientConnection();
-
-  // Tells of every request that is still owed an answer.
-  void CancelPendingRequests();
-
-  [[nodiscard]] safety::ConnectionFacts Facts() const;
-  // Between requests, with nothing read and nothing waiting at the socket.
-  [[nodiscard]] bool idle() const;
-  // Counts it where this end breaks a rule. Before what is pending is given up.
-  void JudgeClose() const;
-  [[nodiscard]] bool HeldAgainstDrain(Clock::time_point now) const;
-  // All is answered, and the client's system has acknowledged it.
-  [[nodiscard]] bool delivered() const {
+  ClientConnection(const ClientConnection&) = delete;
+  ClientConnection& operator=(const ClientConnection&) = delete;
+
+  // Cancels every request whose response is pending. Before the connection is destroyed.
+  void CancelPendingRequests() { responses_.CancelAll(); }
+  // Counts the rule that closing the connection now violates, if there is one.
+  void CountViolationByClose() const;
+  [[nodiscard]] bool ViolatesDrainDeadline(Clock::time_point now) const;
+  // The client has acknowledged all responses, and is waited for to close.
+  [[nodiscard]] bool IsDelivered() const {
     return state_ == State::kLingering && Unacknowledged(connection_.get()) == 0;
   }
-  // What keeps it open, for the log.
+  // Its state and what keeps it open, for the log.
   [[nodiscard]] std::string Describe() const;
-  void ClosesFor(ops::CloseReason reason) { close_reason_ = reason; }
-  [[nodiscard]] bool has_asked() const { return has_asked_; }
-  [[nodiscard]] Clock::time_point used() const { return used_; }
-
-  // What a client that stands still is owed: an error where it has begun a command, a close where it has said
-  // nothing at all, and where connections are many also where it has nothing to ask any more. Guards against
-  // connections that hold descriptors and buffers for nothing: clients may hold only so many, and those that
-  // ask once and stay would keep all others out.
-  void CheckTimeouts(Clock::time_point now, bool many, Clock::time_point unused_since);
+  void SetCloseReason(ops::CloseReason reason) { close_reason_ = reason; }
+  // A valid request has come over it.
+  [[nodiscard]] bool has_requested() const { return has_requested_; }
+  // When its last command was taken, or when it connected.
+  [[nodiscard]] Clock::time_point last_used_at() const { return last_used_at_; }
+
+  // Closes the connection where its client stalls: reads no responses, does not complete a command, or is
+  // idle. May destroy it.
+  void CheckTimeouts(Clock::time_point now, const IdlePolicy& idle);
   [[nodiscard]] flow::ConnectionState EvictionState(Clock::time_point now) const;
-  // Bytes have come that are not read yet. Those of a command that has begun may be some of a whole one.
-  [[nodiscard]] bool HasUnread() const {
-    return state_ == State::kOpen && !broken_ && HasNews(connection_.get());
-  }
-
-  // To be closed from then on.
-  struct Closing {
-    Clock::time_point at;
-    Clock::time_point commands_until;  // by then a command that has begun must be whole
-    ops::CloseReason reason = ops::CloseReason::kDrained;
-  };
-  void CloseAt(const Closing& closing) { closing_ = closing; }
-  // Takes that back where its time has not come.
-  void Keep();
-  // Its time may have come: what lies at the socket by then is read and taken, and nothing that comes after
-  // it, or a client that always has one more request out would hold its connection for good. It sends what
-  // was not read again elsewhere once it sees the close.
-  void CloseInTime(Clock::time_point now);
-
-  // More has come than is read ahead while answers are owed: its end can't be read.
-  [[nodiscard]] bool reading_paused() const;
+  // Bytes have arrived that are not read yet.
+  [[nodiscard]] bool HasUnread() const { return state_ == State::kOpen && HasNews(connection_.get()); }
+
+  void ScheduleClose(const CloseSchedule& schedule) { scheduled_close_.Schedule(schedule); }
+  void CancelScheduledClose() { scheduled_close_.Cancel(); }
+  // Where the scheduled time has come: takes what has arrived by then, and nothing after it, as a client that
+  // always has another request on its way would keep the connection open for good. The client sends what was
+  // not read again elsewhere once it sees the close. May destroy the connection.
+  void CloseIfDue(Clock::time_point now);
+
+  // The read-ahead is full while responses are pending: a disconnect behind it is not seen.
+  [[nodiscard]] bool IsReadingPaused() const;
   [[nodiscard]] bool HungUp() const { return net::HungUp(connection_.get()); }
+  // Destroys the connection.
   void OnDisconnect();
 
   // ResponseWriter
-  void Complete(Slot slot, std::string_view value) override { Answer(slot, value); }
+  void Complete(Slot slot, std::string_view value) override { Respond(slot, value); }
   void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) override;
   void Fail(Slot slot, planner::FailureReason reason) override;
   void BeginStream(Slot slot, std::size_t window) override;
   std::size_t StreamCapacity(Slot slot) override;
   void WriteStream(Slot slot, evbuffer* from, std::size_t size) override;
   void EndStream(Slot slot) override;
-  bool IsClientConnected() override { return !broken_ && !net::HungUp(connection_.get()); }
   void AbortStream(Slot slot) override;
+  bool IsClientConnected() override { return state_ != State::kAborted && !HungUp(); }
 
  private:
   enum class State {
     kOpen,
-    kClosing,    // reads nothing more; closes once all is answered
-    kLingering,  // all is answered and our side is shut; what still comes is thrown away
+    kClosing,    // takes no more commands; shuts its side down once all responses are written
+    kLingering,  // waits for the client to close
+    kAborted,    // a streamed response broke off: nothing is written or read any more
   };
-  struct PendingResponse {
-    std::optional<RequestId> number;
-    std::size_t id = 0;  // its hash
-    bool ready = false;
-    bool in_pieces = false;  // its value comes in pieces
-    std::string answer;      // while the answers before it are owed
-  };
-
-  void Read();
-
-  // `fresh` more bytes have been read. They may have lain at the socket: before it was accepted, or while
-  // nobody watched it.
-  void NoteArrival(std::size_t fresh, Clock::time_point now);
-
-  // Whether the next command may be handled now. Late in its time to be closed all that it still has to take
-  // is.
-  [[nodiscard]] bool TakesCommand(Clock::time_point now) const;
-
-  // Nothing more is taken once what had come by its time to be closed is.
-  void StopReadingInTime(Clock::time_point now);
-
-  // A large command is read once its bytes are reserved, and not before. Returns whether they are.
-  bool Reserve();
-  void Reserved();
-  void Granted() override;
-  void Unreserve();
-
-  // A command that has begun to come and does not end in time: a head by the clock, a body by its progress.
-  // Waiting for room of ours is no fault of the client's.
-  [[nodiscard]] bool Overdue(Clock::time_point now) const;
-
-  // A client that takes nothing of what it is sent.
-  bool Untaken(Clock::time_point now);
-
-  [[nodiscard]] bool HasPendingResponse(Slot slot) const;
-
-  // The framing is lost: says so behind what is owed, reads nothing more, and closes.
-  void ProtocolError(const std::string& what);
-
-  // A client that broke the framing learns of it soon, also where answers before the error take their time:
-  // those fail, which promises nothing.
-  void GiveUpOwed();
-
-  void Handle();
-
-  // Answers a command that goes nowhere else.
-  void Say(const std::string& answer);
-
-  void Answer(Slot slot, std::string_view answer);
-
-  // Writes the answers that waited for the one before them; the next may be one that comes in pieces.
-  void Flush();
-
-  void AskForMore();
-
-  void Pop();
-
-  [[nodiscard]] bool Full() const;
-
-  // Back-pressure: of a client that does not take its answers, or is owed many, no command is taken, and no
-  // more is read than is read ahead of any. Up to there its end is seen at once; behind more by a look.
-  void Flow();
-
-  // Reading failed for a moment: what is read next may have come by now.
-  void NoteDeaf();
-
-  void Written();
-
-  void CloseBetweenRequests();
-
-  // A client that still takes our answers is waited for: a close over what it sends meanwhile would reset the
-  // connection, and the answers would be lost on the way.
-  void CheckLinger();
+  // The only place where the state changes: open to closing, closing to lingering, both first to aborted.
+  void TransitionTo(State next);
+
+  void OnRead();
+  void OnWritten();
+  void OnEvent(short what);
+  void OnCloseTimer();
+
+  // Reading
+  void DispatchCommands(Clock::time_point now);
+  void RecordArrival(Clock::time_point now);
+  [[nodiscard]] bool MayTakeCommand(Clock::time_point now) const;
+  void Dispatch(const resp::Command& command);
+  void DispatchPing(const resp::Command& command);
+  void DispatchRequest(const resp::Command& command);
+  // Back-pressure: no command is taken while this holds. Up to the read-ahead more is read, so that a
+  // disconnect is seen.
+  [[nodiscard]] bool IsFull() const;
+  void UpdatePaused();
+  // The system did not watch the socket for a moment: what is read next may have arrived meanwhile.
+  void OnUnwatched();
+
+  // Responses
+  // To a command that is not dispatched.
+  void RespondAtOnce(std::string_view text);
+  void Respond(Slot slot, std::string_view text);
+  // Commands may be taken again, or the connection closed.
+  void OnResponseWritten();
+
+  // Closing
+  [[nodiscard]] safety::ConnectionFacts Facts() const;
+  [[nodiscard]] bool IsIdle() const;
+  [[nodiscard]] bool IsIdleTimeout(Clock::time_point now, const IdlePolicy& idle) const;
+  // The framing is lost: responds so after what is pending, and closes.
+  void OnProtocolError(const std::string& what);
+  void StopReading(ops::CloseReason reason);
+  void ShutDownIfAllowed();
 
   ConnectionContext& context_;
   Owner& owner_;
-  Clock::time_point used_;  // when the last command was taken; at first, when it connected
-  bool has_asked_ = false;  // a sound request has come
-  std::optional<Clock::time_point> partial_since_;  // the first part of a command that is not whole yet
-  std::optional<Closing> closing_;
-  std::optional<std::size_t> bytes_to_take_;  // at its time to be closed: of what had come, not yet handled
-  bool protocol_error_ = false;
+  const Clock::time_point accepted_at_ = Clock::now();
+  Clock::time_point last_used_at_ = accepted_at_;
   BufferEvent connection_;
-  Timer linger_;
+  CommandReader reader_;
+  ResponseSender responses_;
+  ScheduledClose scheduled_close_;
+  LingeringClose lingering_close_;
+  WriteTimeout write_timeout_;
+  Timer close_timer_;
   State state_ = State::kOpen;
   ops::CloseReason close_reason_ = ops::CloseReason::kClientClosed;
-  bool handling_ = false;
-  bool paused_ = false;
-  bool broken_ = false;        // a value broke off: nothing is written behind it
-  bool waits_ = false;         // in line for the bytes of a large command
-  std::size_t wants_ = 0;      // of them
-  std::size_t reserved_ = 0;   // of them, while it is read
-  std::size_t window_ = 0;     // of a value in pieces: bytes that may wait to be taken
-  std::size_t unwritten_ = 0;  // at the last look
-  Clock::time_point untaken_since_;
-  Clock::time_point came_ = Clock::now();  // the last bytes, as the loop saw them
-  flow::ArrivalTimes arrivals_;            // of what was read, as the system saw them
-  const Clock::time_point accepted_at_ = Clock::now();
-  bool ended_by_client_ = false;
-  std::optional<Clock::time_point> deaf_since_;  // bytes may have come that the loop was not told of
-  bool is_watched_ = false;                      // the system tells of what comes
-  Clock::time_point shut_at_, progress_at_;
-  std::size_t unacknowledged_ = 0;  // at the last look
-  std::size_t need_ = 0;
-  std::size_t in_flight_ = 0;  // bytes of answers that wait for their turn
-  resp::Command command_;
-  Slot first_slot_ = 0;                  // of the first slot
-  std::deque<PendingResponse> pending_;  // the commands that are owed an answer, in order
+  bool has_requested_ = false;
+  bool has_protocol_error_ = false;
+  bool is_client_disconnected_ = false;
+  bool is_dispatching_ = false;
+  bool is_paused_ = false;
+  bool is_watched_ = false;                           // the system reports what arrives
+  std::optional<Clock::time_point> unwatched_since_;  // bytes may have arrived unreported since then
 };
 
 }  // namespace postspread::net
--- a/src/net/downstream/client_listener.h
+++ b/src/net/downstream/client_listener.h
@@ -1,16 +1,15 @@
-// Takes clients' connections in and holds them: room, silence, drains and stops.
+// Accepts client connections and owns them: capacity and eviction, time-outs, drain and shutdown.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
 
-#include <chrono>
 #include <cstddef>
-#include <list>
-#include <memory>
 #include <optional>
 #include <utility>
 
+#include "config/address.h"
 #include "flow/byte_budget.h"
 #include "net/downstream/client_connection.h"
+#include "net/downstream/connection_drainer.h"
 #include "net/downstream/request_handler.h"
 #include "net/log.h"
 #include "net/loop.h"
@@ -20,69 +19,77 @@
 
 class ClientListener final : private ClientConnection::Owner {
  public:
-  // Listens on `listen`, or takes the socket `inherited` that listens there already and is shared with other
-  // processes: that one is accepted from once Accept is called, and is never shut down. Throws
-  // std::runtime_error where that can't be.
-  ClientListener(event_base* base, const config::Address& listen, std::optional<int> inherited,
-                 resp::Vocabulary vocabulary, std::size_t max_connections, flow::ByteBudget& bodies,
-                 ops::Metrics& metrics, RequestHandler& intake);
+  struct Options {
+    config::Address listen;
+    // A socket that listens there already and is shared with other processes: it is accepted from once
+    // StartAccepting is called, and is never shut down.
+    std::optional<int> inherited;
+    std::size_t max_connections = 0;
+  };
+  // Throws std::runtime_error where it can't listen.
+  ClientListener(event_base* base, const Options& options, resp::Vocabulary vocabulary,
+                 flow::ByteBudget& large_requests, ops::Metrics& metrics, RequestHandler& handler);
   ~ClientListener();
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  // What commands are checked against from now on.
+  // Commands are checked against it from now on.
   void SetVocabulary(resp::Vocabulary vocabulary) { context_.vocabulary = std::move(vocabulary); }
-  // Begins to accept from an inherited socket; nothing where that has begun, or accepting has ended.
+  // Accepts from an inherited socket; nothing where accepting has ended.
   void StartAccepting();
-  // Leaves an inherited socket to the other processes that hold it. Its own listener it keeps until Drain.
+  // Leaves an inherited socket to the other processes. A socket of its own stays until Drain.
   void LeaveInherited();
-  // Stops accepting, takes what has been read so far, and closes every connection that owes no answer; each
-  // other one as soon as it owes none. A command that has begun to come may end until `commands_until`.
+  // Stops accepting, and closes every connection: at once where no response is pending, else as soon as none
+  // is. A command that has begun to arrive may be completed until `commands_until`. To be called again until
+  // the listener is empty.
   void Drain(Clock::time_point commands_until);
-  // Closes the kept connections, each at its time; those that come meanwhile soon, too.
-  void StartDraining(const ops::ConnectionDrainSchedule& schedule, ops::CloseReason reason);
-  // Takes that back: a connection whose time has not come yet is kept.
-  void StopDraining();
-  // Whether the clients of all that are left have their answers, and are waited for to close.
-  bool OnlyDelivered() const;
-  bool empty() const { return connections_.empty(); }
-  std::size_t size() const { return connections_.size(); }
+  // As ConnectionDrainer::Start and Stop.
+  void StartDraining(const ops::ConnectionDrainSchedule& schedule, ops::CloseReason reason) {
+    drainer_.Start(schedule, reason);
+  }
+  void StopDraining() { drainer_.Stop(); }
 
- private:
-  using Connections = std::list<std::unique_ptr<ClientConnection>>;
+  // Whether the clients of all connections have their responses, and are waited for to close.
+  [[nodiscard]] bool OnlyDelivered() const;
+  [[nodiscard]] bool empty() const { return connections_.empty(); }
+  [[nodiscard]] std::size_t size() const { return connections_.size(); }
 
+ private:
+  // Accepting
   void Accept(evutil_socket_t fd);
-  void Listen(bool listens);
-  bool AcceptWaiting();
-  void Remove(ClientConnection* connection) override;
-  bool MakeRoom();
+  void OnAcceptError();
+  void EnableAccepting();
+  void PauseAccepting();
+  void RetryAccepting();
+  void StopAccepting();
+  enum class Backlog { kEmpty, kSomeLeft };
+  Backlog AcceptBacklog();
+
+  // Capacity
+  [[nodiscard]] bool IsFull() const { return connections_.size() >= max_connections_; }
+  bool EvictOne();
+  [[nodiscard]] Clock::time_point UnusedCutoff(Clock::time_point now) const;
   void RunMaintenance();
-  void CloseDrainedConnections();
+
+  // ClientConnection::Owner
+  void Remove(ClientConnection* connection) override;
   void WatchForDisconnect() override;
   void CheckDisconnects();
-  void DrainAll(Clock::time_point commands_until);
-  void CheckDrain();
-  void CountHeldAgainstDrain();
-  Clock::time_point EvictionCutoff(Clock::time_point now) const;
 
   ConnectionContext context_;
   std::size_t max_connections_;
-  bool inherited_ = false;
-  std::optional<Clock::time_point> draining_since_;  // kept connections are being closed
-  ops::ConnectionDrainSchedule drain_schedule_;
-  ops::CloseReason drain_reason_ = ops::CloseReason::kDrained;
-  bool drain_judged_ = false;  // it was counted what is held against the rule
-  Connections connections_;
+  bool is_inherited_;
+  ClientConnections connections_;
+  ConnectionDrainer drainer_;
   Listener listener_;
-  bool listens_ = false;  // connections are to be accepted now
+  bool is_accepting_ = false;
   unsigned accepted_ = 0;
-  Timer accept_again_;
+  Timer retry_accept_;
   Timer maintenance_;
   bool watches_for_disconnect_ = false;
   Timer disconnect_check_;
-  Timer drain_check_;
-  Timer drain_report_;  // while connections are being closed: when what is left is logged
-  RareLog turned_away_, accept_failed_;
+  RareLog rejected_log_;
+  RareLog accept_failed_log_;
 };
 
 }  // namespace postspread::net
--- /dev/null
+++ b/src/net/downstream/connection_context.h
@@ -0,0 +1,31 @@
+// What all client connections of a listener share.
+#ifndef POSTSPREAD_NET_DOWNSTREAM_CONNECTION_CONTEXT_H_
+#define POSTSPREAD_NET_DOWNSTREAM_CONNECTION_CONTEXT_H_
+
+#include <cstddef>
+#include <unordered_set>
+
+#include "flow/byte_budget.h"
+#include "net/downstream/request_handler.h"
+#include "net/log.h"
+#include "net/loop.h"
+#include "ops/metrics.h"
+#include "resp/request.h"
+
+namespace postspread::net {
+
+struct ConnectionContext {
+  event_base* base;
+  resp::Vocabulary vocabulary;  // that commands are checked against
+  flow::ByteBudget& large_requests;
+  ops::Metrics& metrics;
+  RequestHandler& handler;
+  // Hashes of the ids of requests with a pending response. A second request under such an id is a client's
+  // fault: it could be executed in place of the first.
+  std::unordered_set<std::size_t> pending_ids{};
+  RareLog rejected_command_log{};
+};
+
+}  // namespace postspread::net
+
+#endif  // POSTSPREAD_NET_DOWNSTREAM_CONNECTION_CONTEXT_H_
--- /dev/null
+++ b/src/net/downstream/connection_drainer.cpp
@@ -0,0 +1,113 @@
+#include "net/downstream/connection_drainer.h"
+
+#include <algorithm>
+#include <chrono>
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "net/log.h"
+#include "safety/connection_rules.h"
+
+namespace postspread::net {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr milliseconds kCloseInterval{20};
+constexpr milliseconds kReportInterval{1'000};
+constexpr int kMaxReportedConnections = 5;
+constexpr milliseconds kFirstRequest{500};  // in which the first request of a new client may be on its way
+constexpr milliseconds kViolationCheck = safety::kDrainDeadline - milliseconds(100);  // after the start
+
+}  // namespace
+
+ConnectionDrainer::ConnectionDrainer(event_base* base, ClientConnections& connections, ops::Metrics& metrics)
+    : connections_(connections),
+      metrics_(metrics),
+      close_timer_(base, [this] { CloseDue(); }),
+      report_timer_(base, [this] { Report(); }) {}
+
+void ConnectionDrainer::Start(const ops::ConnectionDrainSchedule& schedule, ops::CloseReason reason) {
+  const auto now = Clock::now();
+  started_at_ = now;
+  schedule_ = schedule;
+  reason_ = reason;
+  violations_counted_ = false;
+  std::vector<ClientConnection*> by_last_use;
+  for (const auto& connection : connections_) by_last_use.push_back(connection.get());
+  std::sort(by_last_use.begin(), by_last_use.end(),
+            [](const ClientConnection* left, const ClientConnection* right) {
+              return left->last_used_at() < right->last_used_at();
+            });
+  for (std::size_t i = 0; i < by_last_use.size(); ++i) {
+    by_last_use[i]->ScheduleClose({.at = now + schedule.After(i, by_last_use.size()),
+                                   .commands_until = now + schedule.commands_until,
+                                   .reason = reason});
+  }
+  close_timer_.Arm(kCloseInterval);
+  report_timer_.Arm(schedule.commands_until);
+}
+
+void ConnectionDrainer::Stop() {
+  started_at_.reset();
+  close_timer_.Disarm();
+  report_timer_.Disarm();
+  for (const auto& connection : connections_) connection->CancelScheduledClose();
+}
+
+void ConnectionDrainer::OnAccepted(ClientConnection& connection) {
+  if (!started_at_) return;
+  // Early in a drain clients are still routed here. Later a connection stays open for as long as its client
+  // needs to send a request and be told that none is admitted.
+  const auto now = Clock::now();
+  const auto latest = std::max(now + kLateRequestGrace, *started_at_ + schedule_.last);
+  const auto at = std::min(std::max(now + kFirstRequest, *started_at_ + schedule_.first), latest);
+  const auto commands_until = std::max(at + kLateCommandGrace, *started_at_ + schedule_.commands_until);
+  connection.ScheduleClose({.at = at, .commands_until = commands_until, .reason = reason_});
+}
+
+void ConnectionDrainer::CloseAll(Clock::time_point commands_until) {
+  const auto now = Clock::now();
+  for (auto it = connections_.begin(); it != connections_.end();) {
+    ClientConnection& connection = **it++;  // may be removed
+    connection.ScheduleClose(
+        {.at = now, .commands_until = commands_until, .reason = ops::CloseReason::kStopping});
+    connection.CloseIfDue(now);
+  }
+}
+
+void ConnectionDrainer::CloseDue() {
+  close_timer_.Arm(kCloseInterval);
+  const auto now = Clock::now();
+  for (auto it = connections_.begin(); it != connections_.end();) {
+    ClientConnection& connection = **it++;  // may be removed
+    connection.CloseIfDue(now);
+  }
+}
+
+// Once the time of the schedule is over: what is still open, and why.
+void ConnectionDrainer::Report() {
+  CountViolations();
+  if (connections_.empty()) return Log("drain", "no client connection is open");
+  Log("drain", std::to_string(connections_.size()) + " client connections are open");
+  int reported = 0;
+  for (const auto& connection : connections_) {
+    if (++reported > kMaxReportedConnections) break;
+    Log("drain", "open: " + connection->Describe());
+  }
+  report_timer_.Arm(kReportInterval);
+}
+
+// Once in an operator's drain, shortly before its deadline.
+void ConnectionDrainer::CountViolations() {
+  const auto now = Clock::now();
+  const bool is_operators_drain = reason_ == ops::CloseReason::kDrained;
+  if (!is_operators_drain || violations_counted_ || now < *started_at_ + kViolationCheck) return;
+  violations_counted_ = true;
+  for (const auto& connection : connections_) {
+    if (connection->ViolatesDrainDeadline(now)) metrics_.rules.Violated(safety::Rule::kDrainInTime);
+  }
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/downstream/response_sender.cpp
@@ -0,0 +1,95 @@
+#include "net/downstream/response_sender.h"
+
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <deque>
+
+namespace postspread::net {
+namespace {
+
+constexpr int kStreamSendBufferBytes = 64 * 1024;  // of the kernel's
+
+}  // namespace
+
+void ResponseSender::SetRequest(Slot slot, RequestId request) {
+  if (PendingResponse* response = queue_.Find(slot)) response->request = request;
+}
+
+ResponseSender::Result ResponseSender::Send(Slot slot, std::string_view text) {
+  PendingResponse* response = queue_.FindUnready(slot);
+  if (response == nullptr) return Result::kNothing;
+  if (response->id_hash != 0) context_.pending_ids.erase(response->id_hash);
+  if (!queue_.IsFirst(slot)) {
+    queue_.Buffer(*response, text);
+    return Result::kNothing;
+  }
+  Write(connection_, text);
+  queue_.Pop();
+  WriteReady();
+  return Result::kWritten;
+}
+
+void ResponseSender::WriteReady() {
+  while (!queue_.empty() && queue_.front().is_ready) {
+    Write(connection_, queue_.front().text);
+    queue_.Pop();
+  }
+  ResumeFirstStream();
+}
+
+void ResponseSender::BeginStream(Slot slot, std::size_t window) {
+  PendingResponse* response = queue_.FindUnready(slot);
+  if (response == nullptr) return;
+  response->is_streamed = true;
+  stream_window_ = window;
+  SetKernelBytes(connection_, SO_SNDBUF, kStreamSendBufferBytes);
+  bufferevent_setwatermark(connection_, EV_WRITE, window / 2, 0);
+}
+
+std::size_t ResponseSender::StreamCapacity(Slot slot) {
+  if (!queue_.IsFirst(slot) || queue_.FindUnready(slot) == nullptr) return 0;
+  return stream_window_ - std::min(stream_window_, Unwritten(connection_));
+}
+
+void ResponseSender::WriteStream(Slot slot, evbuffer* from, std::size_t size) {
+  if (queue_.IsFirst(slot) && queue_.FindUnready(slot) != nullptr) {
+    evbuffer_remove_buffer(from, bufferevent_get_output(connection_), size);
+  } else {
+    evbuffer_drain(from, size);
+  }
+}
+
+ResponseSender::Result ResponseSender::EndStream(Slot slot) {
+  const PendingResponse* response = queue_.FindUnready(slot);
+  if (response == nullptr || !queue_.IsFirst(slot)) return Result::kNothing;
+  context_.pending_ids.erase(response->id_hash);
+  bufferevent_setwatermark(connection_, EV_WRITE, 0, 0);
+  queue_.Pop();
+  WriteReady();
+  return Result::kWritten;
+}
+
+bool ResponseSender::AbortStream(Slot slot) {
+  PendingResponse* response = queue_.FindUnready(slot);
+  if (response == nullptr) return false;
+  context_.pending_ids.erase(response->id_hash);
+  response->request.reset();
+  return true;
+}
+
+void ResponseSender::ResumeFirstStream() {
+  if (queue_.empty() || !queue_.front().is_streamed || !queue_.front().request) return;
+  context_.handler.ResumeStream(*queue_.front().request);
+}
+
+void ResponseSender::CancelAll() {
+  const std::deque<PendingResponse> pending = queue_.Clear();
+  for (const PendingResponse& response : pending) {
+    if (response.is_ready) continue;
+    context_.pending_ids.erase(response.id_hash);
+    if (response.request) context_.handler.OnClientDisconnect(*response.request);
+  }
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/downstream/scheduled_close.cpp
@@ -0,0 +1,26 @@
+#include "net/downstream/scheduled_close.h"
+
+#include <algorithm>
+
+#include "safety/connection_rules.h"
+
+namespace postspread::net {
+
+void ScheduledClose::Cancel() {
+  if (!HasBegun()) schedule_.reset();
+}
+
+void ScheduledClose::OnCommandTaken(std::size_t size) {
+  if (HasBegun()) *bytes_to_take_ -= std::min(*bytes_to_take_, size);
+}
+
+bool ScheduledClose::StopsReading(const CommandReader& reader, Clock::time_point now) const {
+  if (!schedule_ || !HasBegun()) return false;
+  const safety::ReadingFacts facts{.close_at = schedule_->at,
+                                   .commands_until = schedule_->commands_until,
+                                   .bytes_to_take = *bytes_to_take_,
+                                   .partial_command = reader.partial_since().has_value()};
+  return safety::ReadingAt(facts, now) == safety::Reading::kStops;
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/gateway/action_router.cpp
@@ -0,0 +1,31 @@
+#include "net/gateway/action_router.h"
+
+#include <utility>
+#include <variant>
+
+#include "net/log.h"
+
+namespace postspread::net {
+namespace {
+
+template <typename... Callables>
+struct Overloaded : Callables... {
+  using Callables::operator()...;
+};
+
+}  // namespace
+
+void ActionRouter::Execute(planner::Action& action) {
+  std::visit(
+      Overloaded{
+          [this](const planner::SendDatagram& datagram) { executors_.peers.Send(datagram); },
+          [this](const planner::SendMembershipDatagram& datagram) { executors_.peers.Send(datagram); },
+          [this](planner::CallCounter& call) { executors_.counters.Call(std::move(call)); },
+          [this](const planner::ProbeUpstream& probe) { executors_.pool.StartHealthCheck(probe.upstream); },
+          [](const planner::LogEvent& event) { Log("decisions", event.line); },
+          [this](const auto& of_request) { executors_.requests.Execute(of_request); },
+      },
+      action);
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/gateway/admin_service.h
@@ -0,0 +1,43 @@
+// Carries out the operators' calls.
+#ifndef POSTSPREAD_NET_GATEWAY_ADMIN_SERVICE_H_
+#define POSTSPREAD_NET_GATEWAY_ADMIN_SERVICE_H_
+
+#include <string>
+
+#include "net/downstream/client_listener.h"
+#include "net/gateway/in_flight_requests.h"
+#include "net/gateway/peer_datagrams.h"
+#include "net/gateway/response_streams.h"
+#include "net/gateway/service_state.h"
+#include "ops/admin_calls.h"
+#include "ops/metrics.h"
+#include "planner/planner.h"
+
+namespace postspread::net {
+
+class AdminService final : public ops::AdminHandler {
+ public:
+  struct Collaborators {
+    planner::Planner& planner;
+    ServiceState& service_state;
+    ClientListener& clients;
+    const InFlightRequests& in_flight;
+    const ResponseStreams& streams;
+    const PeerDatagrams& peers;
+    const ops::Metrics& metrics;
+  };
+  explicit AdminService(const Collaborators& collaborators) : collaborators_(collaborators) {}
+
+  ops::Readiness CheckReadiness() override;
+  std::string Metrics() override;
+  std::string Membership() override;
+  ops::AdminResult Drain() override;
+  ops::AdminResult Activate() override;
+
+ private:
+  Collaborators collaborators_;
+};
+
+}  // namespace postspread::net
+
+#endif  // POSTSPREAD_NET_GATEWAY_ADMIN_SERVICE_H_
--- /dev/null
+++ b/src/net/gateway/gateway_setup.cpp
@@ -0,0 +1,99 @@
+#include "net/gateway/gateway_setup.h"
+
+#include <netinet/in.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "net/peer_link.h"
+
+namespace postspread::net {
+namespace {
+
+constexpr std::size_t kBytesPerMegabyte = 1 << 20;
+
+std::uint64_t ParsePeerId(const std::string& text) {
+  const std::optional<config::Address> address = config::Address::Parse(text);
+  return PeerLink::PeerIdOf(*reinterpret_cast<const sockaddr_in*>(address->get()));
+}
+
+}  // namespace
+
+resp::Vocabulary ToVocabulary(const Settings& settings) {
+  resp::Vocabulary vocabulary;
+  for (const ClassSettings& cls : settings.classes) {
+    vocabulary.classes.push_back({.name = cls.name,
+                                  .is_safe = cls.retry_safety == RetrySafety::kIdempotent,
+                                  .is_keyed = cls.retry_safety == RetrySafety::kIdempotencyKey});
+  }
+  for (const PlanSettings& plan : settings.plans) vocabulary.plans.push_back(plan.name);
+  vocabulary.gateways = settings.group_size;
+  vocabulary.max_units = settings.max_units;
+  return vocabulary;
+}
+
+std::optional<config::Peers> ToPeerGroup(const config::Config& config,
+                                         const operator_file::OperatorFile& operators) {
+  const bool membership = operators.membership.enabled && operators.membership.listen.empty();
+  if (!operators.idempotency.enabled && !operators.usage.broadcast && !membership) return std::nullopt;
+  return config::ToPeers(config);
+}
+
+planner::Planner::Extras ToPlannerExtras(const config::Config& config,
+                                         const operator_file::OperatorFile& operators,
+                                         membership::DisabledDefense disabled) {
+  const std::optional<config::Peers> peers = ToPeerGroup(config, operators);
+  planner::Planner::Extras extras;
+  extras.keys = operators.idempotency;
+  extras.usage = operators.usage;
+  extras.has_peers = peers.has_value();
+  extras.membership = operators.membership;
+  extras.subsetting = operators.subsetting;
+  extras.name = config.name;
+  extras.may_be_succeeded = config.inherited.has_value();
+  extras.disabled = disabled;
+  if (!operators.membership.enabled) return extras;
+  if (!operators.membership.listen.empty()) {
+    extras.peer = ParsePeerId(operators.membership.listen);
+    for (const std::string& seed : operators.membership.seeds) extras.seeds.push_back(ParsePeerId(seed));
+  } else if (peers) {
+    extras.peer = static_cast<membership::PeerId>(config.settings.rank);
+    for (std::size_t rank = 0; rank < peers->each.size(); ++rank) extras.seeds.push_back(rank);
+  }
+  return extras;
+}
+
+flow::ResourcePartition ToResourcePartition(const config::Config& config) {
+  return flow::PartitionResources({.memory_bytes = config.memory_mb * kBytesPerMegabyte,
+                                   .sockets = config.sockets,
+                                   .is_shared = config.inherited.has_value(),
+                                   .has_admin_server = config.ops.has_value(),
+                                   .max_command_bytes = resp::kMaxCommand});
+}
+
+std::chrono::microseconds LongestDeadline(const Settings& settings) {
+  std::chrono::microseconds longest{0};
+  for (const ClassSettings& cls : settings.classes) longest = std::max(longest, cls.deadline);
+  return longest;
+}
+
+bool NeedsRestart(const config::Config& running, const config::Config& loaded) {
+  return loaded.name != running.name || !(loaded.listen == running.listen) ||
+         loaded.memory_mb != running.memory_mb || loaded.sockets != running.sockets ||
+         loaded.settings.dial_timeout != running.settings.dial_timeout ||
+         loaded.settings.counter_timeout != running.settings.counter_timeout ||
+         loaded.upstream_idle != running.upstream_idle || loaded.max_in_flight != running.max_in_flight;
+}
+
+bool NeedsRestart(const operator_file::OperatorFile& running, const operator_file::OperatorFile& loaded) {
+  return loaded.idempotency.enabled != running.idempotency.enabled ||
+         loaded.idempotency.memory != running.idempotency.memory ||
+         loaded.membership.enabled != running.membership.enabled ||
+         loaded.membership.name != running.membership.name ||
+         loaded.membership.seeds != running.membership.seeds ||
+         loaded.membership.listen != running.membership.listen || loaded.subsetting != running.subsetting;
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/gateway/graceful_shutdown.cpp
@@ -0,0 +1,66 @@
+#include "net/gateway/graceful_shutdown.h"
+
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "net/gateway/gateway_setup.h"
+#include "net/log.h"
+
+namespace postspread::net {
+namespace {
+
+constexpr std::chrono::milliseconds kKeepServing{500};  // while new connections go on coming
+constexpr std::chrono::milliseconds kCheckInterval{20};
+constexpr std::chrono::milliseconds kLastResponses{50};  // for clients to read them
+
+}  // namespace
+
+GracefulShutdown::GracefulShutdown(event_base* base, ListenSocket listen_socket,
+                                   const Collaborators& collaborators)
+    : base_(base),
+      listen_socket_(listen_socket),
+      collaborators_(collaborators),
+      timer_(base, [this] { Advance(); }) {}
+
+void GracefulShutdown::Start() {
+  if (collaborators_.service_state.lifecycle().stopping()) return;
+  collaborators_.service_state.Stop();
+  Log("draining", "told to stop");
+  collaborators_.driver.Execute(collaborators_.planner.Leave(Clock::now()));
+  if (listen_socket_ == ListenSocket::kOwned) return timer_.Arm(kKeepServing);
+  collaborators_.accept_gate.Cancel();
+  collaborators_.clients.LeaveInherited();
+  collaborators_.clients.StartDraining(ops::kHandOverDrain, ops::CloseReason::kStopping);
+  timer_.Arm(ops::kHandOverDrain.last + kCheckInterval);
+}
+
+void GracefulShutdown::Advance() {
+  const ops::Lifecycle& lifecycle = collaborators_.service_state.lifecycle();
+  const std::chrono::microseconds longest_deadline = LongestDeadline(collaborators_.settings);
+  collaborators_.clients.Drain(lifecycle.CommandsUntil(longest_deadline));
+  const auto now = Clock::now();
+  const Clock::time_point answer_by = lifecycle.AnswerBy(longest_deadline);
+  if (now >= answer_by) collaborators_.requests.FailAllAwaited();
+  // A client that is slow to close is waited for until the platform may kill the process, and no longer; one
+  // that is still reading its responses, until it does.
+  const bool timed_out = now >= answer_by + kLastResponses && collaborators_.clients.OnlyDelivered();
+  if (collaborators_.clients.empty() || timed_out) return Finish();
+  timer_.Arm(kCheckInterval);
+}
+
+void GracefulShutdown::Finish() {
+  collaborators_.idempotency_log.LogChanges();
+  safety::RuleCounts& rules = collaborators_.metrics.rules;
+  const std::size_t unanswered = collaborators_.in_flight.Awaited().size();
+  for (std::size_t i = 0; i < unanswered; ++i) rules.Violated(safety::Rule::kAnswerBeforeExit);
+  for (std::size_t i = 0; i < safety::kRules; ++i) {
+    const std::uint64_t count = rules.violated[i];
+    if (count == 0) continue;
+    Log("rule broken", std::string(Name(safety::Rule(i))) + ", " + std::to_string(count) + " times");
+  }
+  event_base_loopbreak(base_);
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/gateway/graceful_shutdown.h
@@ -0,0 +1,57 @@
+// The way from SIGTERM to the end of the event loop.
+#ifndef POSTSPREAD_NET_GATEWAY_GRACEFUL_SHUTDOWN_H_
+#define POSTSPREAD_NET_GATEWAY_GRACEFUL_SHUTDOWN_H_
+
+#include "net/downstream/client_listener.h"
+#include "net/gateway/accept_gate.h"
+#include "net/gateway/idempotency_log.h"
+#include "net/gateway/in_flight_requests.h"
+#include "net/gateway/planner_driver.h"
+#include "net/gateway/request_dispatcher.h"
+#include "net/gateway/service_state.h"
+#include "net/loop.h"
+#include "ops/metrics.h"
+#include "planner/planner.h"
+#include "settings.h"
+
+namespace postspread::net {
+
+// Keeps serving for a while, as new connections go on coming. Then stops accepting, and closes each client
+// connection once its requests are answered. Shortly before the platform may kill the process, requests that
+// are still in flight fail.
+class GracefulShutdown {
+ public:
+  enum class ListenSocket {
+    kOwned,
+    kInherited,  // other processes accept from it: this one stops at once
+  };
+  struct Collaborators {
+    const Settings& settings;
+    planner::Planner& planner;
+    PlannerDriver& driver;
+    ServiceState& service_state;
+    ClientListener& clients;
+    RequestDispatcher& requests;
+    const InFlightRequests& in_flight;
+    AcceptGate& accept_gate;
+    IdempotencyLog& idempotency_log;
+    ops::Metrics& metrics;
+  };
+  GracefulShutdown(event_base* base, ListenSocket listen_socket, const Collaborators& collaborators);
+
+  // Begins it; nothing where it has begun.
+  void Start();
+
+ private:
+  void Advance();
+  void Finish();
+
+  event_base* base_;
+  ListenSocket listen_socket_;
+  Collaborators collaborators_;
+  Timer timer_;
+};
+
+}  // namespace postspread::net
+
+#endif  // POSTSPREAD_NET_GATEWAY_GRACEFUL_SHUTDOWN_H_
--- /dev/null
+++ b/src/net/gateway/peer_datagrams.h
@@ -0,0 +1,47 @@
+// The datagrams to and from other gateways, all under one budget.
+#ifndef POSTSPREAD_NET_GATEWAY_PEER_DATAGRAMS_H_
+#define POSTSPREAD_NET_GATEWAY_PEER_DATAGRAMS_H_
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "config/config.h"
+#include "flow/datagram_budget.h"
+#include "net/gateway/planner_driver.h"
+#include "net/loop.h"
+#include "net/peer_link.h"
+#include "operator/operator_file.h"
+#include "planner/types.h"
+
+namespace postspread::net {
+
+// Datagrams that come in are reported to the planner. What the budget does not allow is not sent.
+class PeerDatagrams {
+ public:
+  PeerDatagrams(const config::Config& config, PlannerDriver& driver)
+      : config_(config), driver_(driver), budget_(config.settings.peer_messages_per_second) {}
+
+  // Opens the sockets that the operator file asks for; until then nothing is sent. Throws std::runtime_error
+  // where an address can't be bound.
+  void Open(event_base* base, const operator_file::OperatorFile& operators);
+
+  void Send(const planner::SendDatagram& datagram);
+  void Send(const planner::SendMembershipDatagram& datagram);
+
+  // The address of a peer in the membership view, as text.
+  [[nodiscard]] std::string AddressOf(std::uint64_t peer) const;
+  void SetRate(double datagrams_per_second) { budget_.SetRate(datagrams_per_second); }
+  [[nodiscard]] std::uint64_t held_back() const { return budget_.held_back(); }
+
+ private:
+  const config::Config& config_;
+  PlannerDriver& driver_;
+  flow::DatagramBudget budget_;
+  std::optional<PeerLink> group_;       // to the gateways of this group, by rank
+  std::optional<PeerLink> membership_;  // where the membership view has a socket of its own
+};
+
+}  // namespace postspread::net
+
+#endif  // POSTSPREAD_NET_GATEWAY_PEER_DATAGRAMS_H_
--- /dev/null
+++ b/src/net/gateway/request_dispatcher.cpp
@@ -0,0 +1,198 @@
+#include "net/gateway/request_dispatcher.h"
+
+#include <algorithm>
+#include <chrono>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "net/log.h"
+
+namespace postspread::net {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr RequestId kNoRequest = 0;  // of one that the planner was not asked for
+
+RetrySafety RetrySafetyOf(const Settings& settings, std::string_view class_name) {
+  const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
+                                  [class_name](const ClassSettings& cls) { return cls.name == class_name; });
+  return found == settings.classes.end() ? RetrySafety::kNotIdempotent : found->retry_safety;
+}
+
+}  // namespace
+
+RequestDispatcher::RequestDispatcher(const Collaborators& collaborators)
+    : settings_(collaborators.settings),
+      planner_(collaborators.planner),
+      driver_(collaborators.driver),
+      admission_(collaborators.admission),
+      in_flight_(collaborators.in_flight),
+      streams_(collaborators.streams),
+      pool_(collaborators.pool),
+      service_state_(collaborators.service_state),
+      metrics_(collaborators.metrics) {}
+
+RequestId RequestDispatcher::HandleRequest(const Request& request, resp::EncodedRequest encoded,
+                                           ResponseWriter& writer, ResponseWriter::Slot slot) {
+  const auto now = Clock::now();
+  const AdmissionDecision decision = admission_.Admit(request, encoded, now);
+  if (decision.rejected) {
+    Reject(request, *decision.rejected, writer, slot);
+    return kNoRequest;
+  }
+  Request admitted = request;
+  admitted.timeout = decision.timeout;
+  const planner::Planner::PickResult result = planner_.Pick(admitted, now);
+  in_flight_.Add(result.number, {.encoded = std::move(encoded),
+                                 .retry_safety = RetrySafetyOf(settings_, request.class_name),
+                                 .writer = &writer,
+                                 .slot = slot,
+                                 .metrics = &metrics_.Of(request.class_name)});
+  driver_.Execute(result.actions);
+  driver_.DeliverReports();
+  return result.number;
+}
+
+void RequestDispatcher::Reject(const Request& request, ops::RejectReason reason, ResponseWriter& writer,
+                               ResponseWriter::Slot slot) {
+  metrics_.CountRejected(reason);
+  ++metrics_.Of(request.class_name).rejected;
+  const milliseconds retry_after =
+      settings_.retry_after ? std::chrono::ceil<milliseconds>(settings_.max_retry_after) : milliseconds(0);
+  writer.RejectWithRetryAfter(slot, retry_after);
+}
+
+void RequestDispatcher::OnClientDisconnect(RequestId request) {
+  if (streams_.Cancel(request)) return;
+  InFlightRequest* in_flight = in_flight_.Find(request);
+  if (in_flight == nullptr) return;
+  in_flight->writer = nullptr;
+  if (!planner_.OutlivesClient(request)) in_flight_.Release(request);
+  driver_.Report(planner::ClientDisconnected{request});
+}
+
+void RequestDispatcher::FailAllAwaited() {
+  for (const RequestId request : in_flight_.Awaited()) {
+    // Failing one may end others.
+    const InFlightRequest* in_flight = in_flight_.Find(request);
+    if (in_flight == nullptr || in_flight->writer == nullptr) continue;
+    ResponseWriter& writer = *in_flight->writer;
+    const ResponseWriter::Slot slot = in_flight->slot;
+    ++in_flight->metrics->failed;
+    OnClientDisconnect(request);
+    writer.Fail(slot, planner::FailureReason::kFailed);
+  }
+}
+
+void RequestDispatcher::Execute(const planner::StartAttempt& action) {
+  InFlightRequest* request = in_flight_.Find(action.request);
+  if (request == nullptr) return;
+  if (action.attempt > 0) ++metrics_.repeated_attempts;
+  if (const std::optional<safety::Rule> rule = safety::MayRetry(request->retry_safety, request->attempts)) {
+    metrics_.rules.Prevented(*rule);
+    Log("attempt not started", "it would violate the rule " + std::string(Name(*rule)));
+    return OnAttemptFinished({.request = action.request,
+                              .attempt = action.attempt,
+                              .upstream = action.upstream,
+                              .result = planner::AttemptResult::kCouldNotConnect},
+                             {});
+  }
+  request->attempts.resize(static_cast<std::size_t>(action.attempt) + 1);
+  request->attempts.back().in_flight = true;
+  // A copy: the attempt may end within the call, and the request with it.
+  const resp::EncodedRequest encoded = request->encoded;
+  pool_.StartAttempt({action.request, action.attempt}, action.upstream, encoded, action.timeout,
+                     action.begin_within);
+}
+
+void RequestDispatcher::Execute(const planner::RejectWithRetryAfter& action) {
+  const std::optional<InFlightRequest> request = in_flight_.Release(action.request);
+  if (!request || request->writer == nullptr) return;
+  ++request->metrics->rejected;
+  metrics_.CountRejected(ops::RejectReason::kDecision);
+  request->writer->RejectWithRetryAfter(request->slot, std::chrono::ceil<milliseconds>(action.retry_after));
+}
+
+void RequestDispatcher::Execute(const planner::FailRequest& action) {
+  const std::optional<InFlightRequest> request = in_flight_.Release(action.request);
+  if (!request || request->writer == nullptr) return;
+  ++request->metrics->failed;
+  request->writer->Fail(request->slot, action.reason);
+}
+
+void RequestDispatcher::Execute(const planner::CompleteRequest& action) {
+  const std::optional<InFlightRequest> request = in_flight_.Release(action.request);
+  if (!request || request->writer == nullptr) return;
+  ++request->metrics->completed;
+  request->writer->Complete(request->slot, *action.value);
+}
+
+void RequestDispatcher::Execute(const planner::ReleaseRequest& action) { in_flight_.Release(action.request); }
+
+void RequestDispatcher::Execute(const planner::CancelAttempt& action) {
+  pool_.CancelAttempt({action.request, action.attempt});
+}
+
+void RequestDispatcher::OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) {
+  RecordAttemptEnd(report);
+  if (report.use.odd) ++metrics_.unreadable_usage_reports;
+  if (settings_.meter_period.count() > 0 && report.use.percent > 100) ++metrics_.over_quota_responses;
+  if (report.result == planner::AttemptResult::kServed) {
+    if (planner_.NeedsAnswer(report.request)) {
+      planner::AttemptReport with_value = report;
+      with_value.value = value;
+      return driver_.Report(std::move(with_value));
+    }
+    const std::optional<InFlightRequest> request = in_flight_.Release(report.request);
+    if (request && request->writer != nullptr) {
+      ++request->metrics->completed;
+      request->writer->Complete(request->slot, value);
+    }
+  }
+  driver_.Report(report);
+}
+
+void RequestDispatcher::RecordAttemptEnd(const planner::AttemptReport& report) {
+  using Result = planner::AttemptResult;
+  ++metrics_.attempts_ended[std::string(Name(report.result))];
+  InFlightRequest* request = in_flight_.Find(report.request);
+  if (request == nullptr) return;
+  const auto attempt = static_cast<std::size_t>(report.attempt);
+  if (attempt >= request->attempts.size()) return;
+  const bool never_ran = report.result == Result::kTurnedAway || report.result == Result::kCouldNotConnect;
+  request->attempts[attempt] = {.in_flight = false, .may_have_run = !never_ran};
+}
+
+bool RequestDispatcher::IsStillNeeded(RequestId request) {
+  const InFlightRequest* in_flight = in_flight_.Find(request);
+  if (in_flight == nullptr) return false;
+  if (planner_.OutlivesClient(request)) return true;
+  return in_flight->writer != nullptr && in_flight->writer->IsClientConnected();
+}
+
+AttemptListener::Value RequestDispatcher::OnLargeValue(const planner::AttemptReport& report) {
+  if (planner_.NeedsAnswer(report.request)) return Value::kWhole;
+  RecordAttemptEnd(report);
+  const std::optional<InFlightRequest> request = in_flight_.Release(report.request);
+  if (!request || request->writer == nullptr) return Value::kNone;
+  streams_.Begin(report.request, {.writer = request->writer,
+                                  .slot = request->slot,
+                                  .attempt = report.attempt,
+                                  .metrics = request->metrics});
+  // For the planner the attempt has ended: what is left is the transfer to the client.
+  driver_.Report(report);
+  return Value::kPass;
+}
+
+void RequestDispatcher::OnStreamFinished(RequestId request, bool whole) {
+  if (whole) {
+    streams_.Complete(request);
+  } else {
+    streams_.Abort(request);
+  }
+}
+
+}  // namespace postspread::net
--- /dev/null
+++ b/src/net/gateway/request_dispatcher.h
@@ -0,0 +1,87 @@
+// The path of a request: admission, the planner's decisions on it, its delivery attempts, its final response.
+#ifndef POSTSPREAD_NET_GATEWAY_REQUEST_DISPATCHER_H_
+#define POSTSPREAD_NET_GATEWAY_REQUEST_DISPATCHER_H_
+
+#include <cstddef>
+#include <string_view>
+
+#include "net/downstream/request_handler.h"
+#include "net/gateway/admission_control.h"
+#include "net/gateway/in_flight_requests.h"
+#include "net/gateway/planner_driver.h"
+#include "net/gateway/response_streams.h"
+#include "net/gateway/service_state.h"
+#include "net/upstream/upstream_pool.h"
+#include "ops/metrics.h"
+#include "planner/planner.h"
+#include "settings.h"
+
+namespace postspread::net {
+
+// A request ends in one place: where it is released from the requests in flight. Whoever releases it sends
+// its final response, so that it gets one and no more.
+class RequestDispatcher final : public RequestHandler, public AttemptListener {
+ public:
+  struct Collaborators {
+    const Settings& settings;
+    planner::Planner& planner;
+    PlannerDriver& driver;
+    AdmissionControl& admission;
+    InFlightRequests& in_flight;
+    ResponseStreams& streams;
+    UpstreamPool& pool;
+    ServiceState& service_state;
+    ops::Metrics& metrics;
+  };
+  explicit RequestDispatcher(const Collaborators& collaborators);
+
+  // The planner's actions on a request.
+  void Execute(const planner::StartAttempt& action);
+  void Execute(const planner::RejectWithRetryAfter& action);
+  void Execute(const planner::FailRequest& action);
+  void Execute(const planner::CompleteRequest& action);
+  void Execute(const planner::ReleaseRequest& action);
+  void Execute(const planner::CancelAttempt& action);
+
+  // Fails every request whose client still waits: at the end of a shutdown a failure is a response, too.
+  void FailAllAwaited();
+
+  // RequestHandler
+  bool Ready() override { return service_state_.Ready(); }
+  RequestId HandleRequest(const Request& request, resp::EncodedRequest encoded, ResponseWriter& writer,
+                          ResponseWriter::Slot slot) override;
+  void OnClientDisconnect(RequestId request) override;
+  void ResumeStream(RequestId request) override { streams_.Resume(request); }
+
+  // AttemptListener
+  void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) override;
+  void OnHealthCheckFinished(const planner::ProbeReport& report) override { driver_.Report(report); }
+  bool IsStillNeeded(RequestId request) override;
+  void OnRulePrevented(safety::Rule rule) override { metrics_.rules.Prevented(rule); }
+  Value OnLargeValue(const planner::AttemptReport& report) override;
+  std::size_t StreamCapacity(RequestId request) override { return streams_.Capacity(request); }
+  void StreamValue(RequestId request, evbuffer* from, std::size_t size) override {
+    streams_.Write(request, from, size);
+  }
+  void OnStreamFinished(RequestId request, bool whole) override;
+  void OnAttemptWritten() override { ++metrics_.upstream_requests; }
+
+ private:
+  void Reject(const Request& request, ops::RejectReason reason, ResponseWriter& writer,
+              ResponseWriter::Slot slot);
+  void RecordAttemptEnd(const planner::AttemptReport& report);
+
+  const Settings& settings_;
+  planner::Planner& planner_;
+  PlannerDriver& driver_;
+  AdmissionControl& admission_;
+  InFlightRequests& in_flight_;
+  ResponseStreams& streams_;
+  UpstreamPool& pool_;
+  ServiceState& service_state_;
+  ops::Metrics& metrics_;
+};
+
+}  // namespace postspread::net
+
+#endif  // POSTSPREAD_NET_GATEWAY_REQUEST_DISPATCHER_H_
--- /dev/null
+++ b/src/net/gateway/service_state.cpp
@@ -0,0 +1,56 @@
+#include "net/gateway/service_state.h"
+
+#include <chrono>
+#include <string>
+
+#include "net/log.h"
+
+namespace postspread::net {
+namespace {
+
+constexpr std::chrono::milliseconds kStartGrace{1'000};  // for discovery and the counter to respond
+
+}  // namespace
+
+ServiceState::ServiceState(event_base* base, ops::Lifecycle& lifecycle, const Dependencies& dependencies)
+    : lifecycle_(lifecycle), dependencies_(dependencies), grace_(base, [this] { grace_is_over_ = true; }) {
+  grace_.Arm(kStartGrace);
+}
+
+bool ServiceState::CanServe() const {
+  const bool connected = dependencies_.counters.IsConnected() && dependencies_.discovery.heard();
+  return dependencies_.endpoints.ready_upstreams() > 0 && (connected || grace_is_over_);
+}
+
+bool ServiceState::Ready() {
+  using Dependencies = ops::Lifecycle::Dependencies;
+  lifecycle_.SetDependencies(CanServe() ? Dependencies::kAvailable : Dependencies::kUnavailable);
+  LogChange();
+  return lifecycle_.serves();
+}
+
+ops::AdminResult ServiceState::Drain() {
+  const ops::AdminResult result = lifecycle_.Drain(Clock::now());
+  if (result == ops::AdminResult::kDone) LogChange();
+  return result;
+}
+
+ops::AdminResult ServiceState::Activate() {
+  const ops::AdminResult result = lifecycle_.Activate();
+  if (result == ops::AdminResult::kDone) LogChange();
+  return result;
+}
+
+void ServiceState::Stop() {
+  lifecycle_.Stop(Clock::now());
+  LogChange();
+}
+
+void ServiceState::LogChange() {
+  const ops::Lifecycle::State state = lifecycle_.state();
+  if (state == logged_state_) return;
+  Log("state", std::string(Name(logged_state_)) + " to " + std::string(Name(state)));
+  logged_state_ = state;
+}
+
+}  // namespace postspread::net
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -1,41 +1,44 @@
-// Joins the clients' side, the planner and what the planner's steps need. It decides nothing: it carries out
-// steps and reports what came back.
+// The gateway: builds its parts, connects them, and takes what the process is told by signals.
 #ifndef POSTSPREAD_NET_GATEWAY_SERVER_H_
 #define POSTSPREAD_NET_GATEWAY_SERVER_H_
 
-#include <cstddef>
-#include <deque>
-#include <list>
 #include <optional>
-#include <string>
-#include <string_view>
-#include <unordered_map>
-#include <vector>
 
 #include "config/config.h"
 #include "flow/byte_budget.h"
-#include "flow/datagram_budget.h"
-#include "flow/shares.h"
+#include "flow/resource_partition.h"
 #include "net/admin_server.h"
 #include "net/downstream/client_listener.h"
+#include "net/gateway/accept_gate.h"
+#include "net/gateway/action_router.h"
+#include "net/gateway/admin_service.h"
+#include "net/gateway/admission_control.h"
+#include "net/gateway/counter_connections.h"
+#include "net/gateway/endpoint_registry.h"
+#include "net/gateway/graceful_shutdown.h"
+#include "net/gateway/idempotency_log.h"
+#include "net/gateway/in_flight_requests.h"
+#include "net/gateway/peer_datagrams.h"
+#include "net/gateway/planner_driver.h"
+#include "net/gateway/request_dispatcher.h"
+#include "net/gateway/response_streams.h"
+#include "net/gateway/service_state.h"
 #include "net/loop_monitor.h"
-#include "net/peer_link.h"
-#include "net/upstream/counter_client.h"
 #include "net/upstream/discovery_watch.h"
 #include "net/upstream/upstream_pool.h"
 #include "operator/operator_file.h"
-#include "ops/admin_calls.h"
 #include "ops/lifecycle.h"
 #include "ops/metrics.h"
 #include "planner/planner.h"
-#include "safety/attempt_rules.h"
 
 namespace postspread::net {
 
-class GatewayServer final : private RequestHandler,
-                            private AttemptListener,
-                            private CounterListener,
-                            private ops::AdminHandler {
+enum class ReloadResult {
+  kComplete,
+  kNeedsRestart,  // some of the new configuration is applied at the next start only
+};
+
+class GatewayServer {
  public:
   // Listens at once; throws std::runtime_error where it can't.
   GatewayServer(event_base* base, const config::Config& config,
@@ -44,131 +47,48 @@
   GatewayServer(const GatewayServer&) = delete;
   GatewayServer& operator=(const GatewayServer&) = delete;
 
-  // SIGHUP has come and `config` is sound: takes on its addresses of discovery and of the counter. What is
-  // under way, the list of upstreams and all that was learnt stay. Returns whether it holds anything that
-  // only a restart can take on.
-  bool Reload(const config::Config& config, const operator_file::OperatorFile& operators = {});
-
-  const config::Config& config() const { return config_; }
-  // A configuration has come with SIGHUP and was turned down.
+  // Applies a valid configuration. Requests in flight, the endpoint list and all statistics stay.
+  ReloadResult Reload(const config::Config& config, const operator_file::OperatorFile& operators = {});
+  // A new configuration was rejected.
   void ReloadFailed() { ++metrics_.config_reload_errors; }
+  // The configuration in force.
+  [[nodiscard]] const config::Config& config() const { return config_; }
 
-  // SIGTERM has come: goes on for a while, then answers what was taken and ends the loop.
-  void Stop();
+  // Begins a graceful shutdown, which ends the event loop.
+  void Stop() { shutdown_.Start(); }
 
  private:
-  struct InFlightRequest {  // a request that is owed its final answer
-    resp::EncodedRequest encoded;
-    RetrySafety effect = RetrySafety::kIdempotent;   // of its class when it came
-    std::vector<safety::EarlierAttempt> attempts{};  // by number
-    ResponseWriter* writer = nullptr;  // null: its sender has gone, and its work goes on for others
-    ResponseWriter::Slot slot = 0;
-    ops::ClassMetrics* metrics = nullptr;  // of its class
-  };
-
-  struct StreamingResponse {  // a request whose final answer has begun and comes in pieces
-    ResponseWriter* writer = nullptr;
-    ResponseWriter::Slot slot = 0;
-    int attempt = 0;
-    ops::ClassMetrics* metrics = nullptr;
-  };
+  // So that each class is among the metrics from the start.
+  void RegisterClassMetrics();
 
-  // RequestHandler
-  bool Ready() override;
-  RequestId HandleRequest(const Request& request, resp::EncodedRequest encoded, ResponseWriter& writer,
-                          ResponseWriter::Slot slot) override;
-  void OnClientDisconnect(RequestId number) override;
-  void ResumeStream(RequestId number) override;
-  // AttemptListener
-  void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) override;
-  void OnHealthCheckFinished(const planner::ProbeReport& report) override;
-  bool IsStillNeeded(RequestId request) override;
-  void OnRulePrevented(safety::Rule rule) override { metrics_.rules.Prevented(rule); }
-  Value OnLargeValue(const planner::AttemptReport& report) override;
-  std::size_t StreamCapacity(RequestId request) override;
-  void StreamValue(RequestId request, evbuffer* from, std::size_t size) override;
-  void OnStreamFinished(RequestId request, bool whole) override;
-  void OnAttemptWritten() override { ++metrics_.upstream_requests; }
-  // CounterListener
-  void OnCounterReply(planner::CounterReport report) override;
-  // ops::Desk
-  bool Ready(std::string_view& state) override;
-  std::string Metrics() override;
-  std::string Membership() override;
-  bool Drain() override;
-  bool Activate() override;
-
-  void OnEndpointList(const config::EndpointList& endpoint_list, planner::EndpointUpdateKind scope);
-  void Report(planner::ReportValue report);
-  void Run(planner::Actions actions);
-  void RunQueued();
-  void ArmTick();
-  void Tick();
-  flow::ByteBudget& Budget(const resp::EncodedRequest& encoded);
-  std::optional<InFlightRequest> Release(RequestId number);
-  void Execute(planner::StartAttempt& action);
-  void Execute(planner::RejectWithRetryAfter& action);
-  void Execute(planner::FailRequest& action);
-  void Execute(planner::CompleteRequest& action);
-  void Execute(planner::ReleaseRequest& action);
-  void Execute(planner::SendDatagram& action);
-  void Execute(planner::SendMembershipDatagram& action);
-  void Execute(planner::CancelAttempt& action);
-  void Execute(planner::CallCounter& action);
-  void Execute(planner::ProbeUpstream& action);
-  void Execute(planner::LogEvent& action);
-  std::optional<ops::MembershipMetrics> MembershipMetrics() const;
-  bool CanServe() const;
-  void LogStateChange();
-  void RegisterClasses();
-  void AdvanceShutdown();
-  void FailAllInFlight();
-  std::chrono::microseconds LongestDeadline() const;
-  RetrySafety EffectOf(std::string_view class_name) const;
-  void RecordAttemptEnd(const planner::AttemptReport& report);
-  RequestId RejectRequest(const Request& request, ops::RefusalReason reason, ResponseWriter& writer,
-                          ResponseWriter::Slot slot);
-  void FinishShutdown();
-  void StartAccepting();
-  void DialCounter(const config::Address& address);
-  void CloseRetired();
-  void LogKeys();
-
-  event_base* base_;
   config::Config config_;
-  operator_file::OperatorFile operators_;
+  const operator_file::OperatorFile operators_;  // as it was at the start
   planner::Planner planner_;
-  std::size_t max_in_flight_;
-  flow::Shares shares_;
-  flow::ByteBudget request_budget_;  // commands held, but for the large ones
-  flow::ByteBudget bodies_;          // large commands, in reading and held
-  std::unordered_map<RequestId, InFlightRequest> in_flight_;
-  std::unordered_map<RequestId, StreamingResponse> streaming_;
-  bool busy_ = false;                         // steps are being carried out
-  std::deque<planner::ReportValue> reports_;  // what came back meanwhile
-  std::optional<Clock::time_point> armed_;
-  Timer tick_;
-  Timer settle_;
-  Timer start_;  // with an inherited socket: until it is accepted from
-  Timer stop_;
-  Timer retire_;
-  Timer keys_;
-  LoopMonitor monitor_;
-  idempotency::Counts keys_told_;  // at the last line about the store of keys
-  bool settled_ = false;
-  ops::Lifecycle lifecycle_;
-  ops::Lifecycle::State logged_state_ = ops::Lifecycle::State::kStarting;
-  Clock::time_point started_ = Clock::now();
+  const flow::ResourcePartition partition_;
+  flow::ByteBudget request_budget_;
+  flow::ByteBudget large_request_budget_;  // while they are read and while they are in flight
   ops::Metrics metrics_;
-  std::size_t ready_upstreams_ = 0;
-  std::unordered_map<std::string, bool> upstreams_;  // by name: ready
+  ops::Lifecycle lifecycle_;
+  LoopMonitor loop_monitor_;
+  // Many parts refer to some that come after them. They use these only once all are constructed, or as the
+  // order of the members allows; it is also the order in which sockets are opened.
+  PlannerDriver driver_;
+  InFlightRequests in_flight_;
+  AdmissionControl admission_;
+  ResponseStreams streams_;
+  RequestDispatcher requests_;
+  PeerDatagrams peers_;
+  ActionRouter actions_;
   UpstreamPool pool_;
-  std::list<CounterClient> counters_;  // the last is the configuration's; those before it are being left
-  ClientListener client_listener_;
-  std::optional<DiscoveryWatch> discovery_;
-  flow::DatagramBudget datagrams_;
-  std::optional<PeerLink> peers_;
-  std::optional<PeerLink> membership_link_;  // where the membership view has a socket of its own
+  ClientListener clients_;
+  CounterConnections counters_;
+  EndpointRegistry endpoints_;
+  DiscoveryWatch discovery_;
+  ServiceState service_state_;
+  IdempotencyLog idempotency_log_;
+  AcceptGate accept_gate_;
+  GracefulShutdown shutdown_;
+  AdminService admin_service_;
   std::optional<AdminServer> admin_server_;
 };
 
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -9,25 +9,26 @@
 namespace postspread::net {
 namespace {
 
+constexpr std::chrono::seconds kInterval{1};  // between two lines of a RareLog
 constexpr char kTextLogger[] = "postspread";
 constexpr char kJsonLogger[] = "postspread-json";
 
-// The pattern turns the level's place and the time into the rest of the object; the message is its members.
+// The JSON pattern is the object around the members that the message consists of.
 constexpr char kTextPattern[] = "postspread: %v";
 constexpr char kJsonPattern[] = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","program":"postspread",%v})";
 
 std::shared_ptr<spdlog::logger> MakeLogger(LogFormat format) {
   const bool is_json = format == LogFormat::kJson;
-  auto out = std::make_shared<spdlog::logger>(is_json ? kJsonLogger : kTextLogger,
-                                              std::make_shared<spdlog::sinks::stderr_sink_st>());
-  out->set_pattern(is_json ? kJsonPattern : kTextPattern, spdlog::pattern_time_type::utc);
-  out->flush_on(spdlog::level::trace);
-  // A log that takes nothing must not stop the service.
-  out->set_error_handler([](const std::string&) {});
-  return out;
+  auto logger = std::make_shared<spdlog::logger>(is_json ? kJsonLogger : kTextLogger,
+                                                 std::make_shared<spdlog::sinks::stderr_sink_st>());
+  logger->set_pattern(is_json ? kJsonPattern : kTextPattern, spdlog::pattern_time_type::utc);
+  logger->flush_on(spdlog::level::trace);
+  // A failure of the log must not stop the service.
+  logger->set_error_handler([](const std::string&) {});
+  return logger;
 }
 
-std::string Quoted(std::string_view text) {
+std::string Quote(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
@@ -43,8 +44,8 @@
   }
   std::string line;
   if (logger->name() == kJsonLogger) {
-    line = "\"event\":" + Quoted(event);
-    if (!detail.empty()) line += ",\"detail\":" + Quoted(detail);
+    line = "\"event\":" + Quote(event);
+    if (!detail.empty()) line += ",\"detail\":" + Quote(detail);
   } else {
     line = event;
     if (!detail.empty()) line.append(": ").append(detail);
@@ -55,7 +56,7 @@
 void RareLog::operator()(std::string_view event, std::string_view detail) {
   const auto now = std::chrono::steady_clock::now();
   if (now < next_) return;
-  next_ = now + std::chrono::seconds(1);
+  next_ = now + kInterval;
   Log(event, detail);
 }
 
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,4 @@
-// Log lines on standard error, by way of spdlog. The wording of each is fixed; docs/oncall.md lists them.
+// Log lines on standard error, through spdlog. The wording of each event is fixed; docs/oncall.md lists them.
 #ifndef POSTSPREAD_NET_LOG_H_
 #define POSTSPREAD_NET_LOG_H_
 
@@ -10,14 +10,14 @@
 
 enum class LogFormat { kText, kJson };
 
-// Sets the form of all lines from now on; before it is called they are text. As JSON a line is one object:
-// "time" (UTC, to the millisecond), "program", "event" and, where there is one, "detail".
+// Sets the format of all lines from now on; until then it is text. In JSON a line is one object: "time" (UTC,
+// in milliseconds), "program", "event" and, where there is one, "detail".
 void OpenLog(LogFormat format);
 
-// One line: the program's name, the event's fixed wording, and what varies behind a colon.
+// One line: the program's name, the event and its detail, which is the part that varies.
 void Log(std::string_view event, std::string_view detail = {});
 
-// The same once a second at most, for what may come with every request.
+// The same at most once a second, for events that may come with every request. Others are dropped.
 class RareLog {
  public:
   void operator()(std::string_view event, std::string_view detail = {});
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,6 +11,7 @@
 #include <algorithm>
 #include <cerrno>
 #include <cstddef>
+#include <new>
 #include <optional>
 #include <stdexcept>
 #include <utility>
@@ -18,30 +19,32 @@
 namespace postspread::net {
 namespace {
 
-constexpr int kCallbacksATurn = 64;  // of usual events, before urgent ones are looked for again
-constexpr int kStartRetries = 40;
-constexpr std::chrono::milliseconds kStartRetry{50};
-constexpr int kInterruptions = 16;  // of one call by signals, after which its error stands
+constexpr int kMaxUsualCallbacks = 64;  // before urgent events are polled for again
+constexpr int kMaxOpenAttempts = 40;
+constexpr std::chrono::milliseconds kOpenRetryDelay{50};
+constexpr int kMaxInterruptions = 16;  // of one system call by signals, before EINTR is an error
 
 template <typename Call>
-auto AgainWhileInterrupted(Call call) {
+auto RetryInterrupted(Call call) {
   auto result = call();
-  for (int i = 0; i < kInterruptions && result < 0 && errno == EINTR; ++i) result = call();
+  for (int i = 0; i < kMaxInterruptions && result < 0 && errno == EINTR; ++i) result = call();
   return result;
 }
 
-// Looks at the first byte that waits at the socket: as recv.
+// The result is that of recv.
 ssize_t PeekByte(bufferevent* connection) {
   char byte = 0;
-  return AgainWhileInterrupted(
+  return RetryInterrupted(
       [&] { return recv(bufferevent_getfd(connection), &byte, 1, MSG_PEEK | MSG_DONTWAIT); });
 }
 
-std::optional<tcp_info> InfoOf(bufferevent* connection) {
+std::optional<tcp_info> GetTcpInfo(bufferevent* connection) {
   tcp_info info{};
   socklen_t size = sizeof info;
+  constexpr std::size_t kNeededSize =
+      offsetof(tcp_info, tcpi_data_segs_in) + sizeof(tcp_info::tcpi_data_segs_in);
   const int failed = getsockopt(bufferevent_getfd(connection), IPPROTO_TCP, TCP_INFO, &info, &size);
-  if (failed != 0 || size < offsetof(tcp_info, tcpi_data_segs_in) + sizeof info.tcpi_data_segs_in) return {};
+  if (failed != 0 || size < kNeededSize) return std::nullopt;
   return info;
 }
 
@@ -50,7 +53,7 @@
 EventBase MakeEventBase() {
   const std::unique_ptr<event_config, Free<event_config_free>> config(event_config_new());
   if (!config) throw std::runtime_error("no event loop");
-  event_config_set_max_dispatch_interval(config.get(), nullptr, kCallbacksATurn, kUsual);
+  event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxUsualCallbacks, kUsual);
   EventBase base(event_base_new_with_config(config.get()));
   if (!base || event_base_priority_init(base.get(), kUsual + 1) != 0)
     throw std::runtime_error("no event loop");
@@ -63,11 +66,11 @@
 }
 
 bool OpenWithRetries(const std::function<bool()>& open) {
-  for (int i = 0; i < kStartRetries; ++i) {
+  for (int i = 0; i < kMaxOpenAttempts; ++i) {
     errno = 0;
     if (open()) return true;
     if (!IsShortage(errno)) return false;
-    usleep(static_cast<useconds_t>(std::chrono::microseconds(kStartRetry).count()));
+    usleep(static_cast<useconds_t>(std::chrono::microseconds(kOpenRetryDelay).count()));
   }
   return false;
 }
@@ -94,22 +97,33 @@
   if (fd < 0) return nullptr;
   const int one = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  BufferEvent out(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE));
-  if (!out) {
+  BufferEvent connection(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE));
+  if (!connection) {
     close(fd);
     return nullptr;
   }
-  bufferevent_setcb(out.get(), on_read, on_written, on_event, context);
-  if (bufferevent_socket_connect(out.get(), address.get(), static_cast<int>(address.size())) != 0) {
+  bufferevent_setcb(connection.get(), on_read, on_written, on_event, context);
+  if (bufferevent_socket_connect(connection.get(), address.get(), static_cast<int>(address.size())) != 0) {
     return nullptr;
   }
-  return out;
+  return connection;
+}
+
+BufferEvent AdoptSocket(event_base* base, evutil_socket_t fd) {
+  const int one = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+  BufferEvent connection(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE));
+  if (!connection) {
+    evutil_closesocket(fd);
+    throw std::bad_alloc();
+  }
+  return connection;
 }
 
 void Write(bufferevent* connection, std::string_view bytes) {
   if (Unwritten(connection) == 0) {
-    // Saves two changes of the poll set and a turn of the loop for each message. An error is left to the
-    // loop, which reports it with the bytes still unwritten.
+    // Saves two changes of the poll set and an iteration of the loop for each message. An error is left to
+    // the loop, which reports it with the bytes still unwritten.
     const ssize_t sent = send(bufferevent_getfd(connection), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
@@ -117,7 +131,7 @@
 }
 
 bool BeginWrite(bufferevent* connection, std::string_view bytes) {
-  const ssize_t sent = AgainWhileInterrupted(
+  const ssize_t sent = RetryInterrupted(
       [&] { return send(bufferevent_getfd(connection), bytes.data(), bytes.size(), MSG_NOSIGNAL); });
   if (sent < 0 && IsShortage(errno)) return false;
   if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
@@ -151,16 +165,16 @@
 
 void ReadNow(bufferevent* connection, std::size_t most) {
   evbuffer* input = bufferevent_get_input(connection);
-  // A bufferevent keeps the end of its input closed but for its own reads. An end or an error is left to it.
+  // A bufferevent freezes the end of its input except for its own reads. An end or an error is left to it.
   evbuffer_unfreeze(input, /*at_front=*/0);
   evbuffer_read(input, bufferevent_getfd(connection), static_cast<int>(most));
   evbuffer_freeze(input, /*at_front=*/0);
 }
 
 bool HungUp(bufferevent* connection) {
-  pollfd look{bufferevent_getfd(connection), POLLRDHUP, 0};
-  const int count = AgainWhileInterrupted([&look] { return poll(&look, 1, 0); });
-  return count == 1 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll_entry{bufferevent_getfd(connection), POLLRDHUP, 0};
+  const int count = RetryInterrupted([&poll_entry] { return poll(&poll_entry, 1, 0); });
+  return count == 1 && (poll_entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 bool HasNews(bufferevent* connection) {
@@ -177,17 +191,17 @@
 }
 
 std::chrono::milliseconds SinceArrival(bufferevent* connection) {
-  const std::optional<tcp_info> info = InfoOf(connection);
+  const std::optional<tcp_info> info = GetTcpInfo(connection);
   return std::chrono::milliseconds(info ? info->tcpi_last_data_recv : 0);
 }
 
 std::chrono::milliseconds WaitedForAccept(bufferevent* connection) {
-  const std::optional<tcp_info> info = InfoOf(connection);
+  const std::optional<tcp_info> info = GetTcpInfo(connection);
   if (!info || info->tcpi_data_segs_in == 0) return std::chrono::milliseconds(0);
-  // Of several segments the system tells the last one's arrival. Nothing has been sent on it yet, so the time
+  // Of several segments the system reports the arrival of the last. Nothing has been sent yet, so the time
   // without sending is the connection's age.
-  const bool exact = info->tcpi_data_segs_in == 1;
-  return std::chrono::milliseconds(exact ? info->tcpi_last_data_recv : info->tcpi_last_data_sent);
+  const bool is_exact = info->tcpi_data_segs_in == 1;
+  return std::chrono::milliseconds(is_exact ? info->tcpi_last_data_recv : info->tcpi_last_data_sent);
 }
 
 bool IsPassingError(short what) {
@@ -197,9 +211,10 @@
 }
 
 bool Watch(bufferevent* connection) {
-  // Switched on with nothing to write, the loop would wake up for that once.
-  const bool writes = Unwritten(connection) > 0 || (bufferevent_get_enabled(connection) & EV_WRITE) == 0;
-  return bufferevent_enable(connection, static_cast<short>(EV_READ | (writes ? EV_WRITE : 0))) == 0;
+  // Enabled with nothing to write, the loop would wake up for it once.
+  const bool enable_write =
+      Unwritten(connection) > 0 || (bufferevent_get_enabled(connection) & EV_WRITE) == 0;
+  return bufferevent_enable(connection, static_cast<short>(EV_READ | (enable_write ? EV_WRITE : 0))) == 0;
 }
 
 void Consume(bufferevent* connection, std::size_t size) {
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -3,29 +3,31 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kBeat{50};
-constexpr std::chrono::milliseconds kRemains{
-    2 * kBeat};  // in which what a standstill left at the sockets is read
-// Under the 150 ms by which a deadline may be told too long; a beat that is late by less is no standstill.
-constexpr std::chrono::milliseconds kUnnoticed{100};
+constexpr std::chrono::milliseconds kHeartbeat{50};
+// Within two heartbeats after a stall all that arrived meanwhile has been read.
+constexpr std::chrono::milliseconds kBacklog{2 * kHeartbeat};
+// Below the 150 ms by which a request may overrun its deadline.
+constexpr std::chrono::milliseconds kMinStall{100};
 
 }  // namespace
 
-LoopMonitor::LoopMonitor(event_base* base) : beat_(base, [this] { Beat(); }) { beat_.Arm(kBeat); }
+LoopMonitor::LoopMonitor(event_base* base) : heartbeat_(base, [this] { OnHeartbeat(); }) {
+  heartbeat_.Arm(kHeartbeat);
+}
 
-void LoopMonitor::Beat() {
+void LoopMonitor::OnHeartbeat() {
   const auto now = Clock::now();
-  // The beat may come before what lies at the sockets is read.
-  while (!standstills_.empty() && now - standstills_.front().end > kRemains) standstills_.pop_front();
-  if (now - last_beat_ > kUnnoticed) standstills_.push_back({.begin = last_beat_, .end = now});
-  last_beat_ = now;
-  beat_.Arm(kBeat);
+  // This may run before what waits at the sockets is read: a stall is remembered for some time.
+  while (!stalls_.empty() && now - stalls_.front().end > kBacklog) stalls_.pop_front();
+  if (now - last_heartbeat_ > kMinStall) stalls_.push_back({.begin = last_heartbeat_, .end = now});
+  last_heartbeat_ = now;
+  heartbeat_.Arm(kHeartbeat);
 }
 
-Clock::duration LoopMonitor::StoodStill(Clock::time_point now) const {
-  if (!standstills_.empty()) return now - standstills_.front().begin;
-  const Clock::duration since_beat = now - last_beat_;
-  return since_beat > kUnnoticed ? since_beat : Clock::duration(0);
+Clock::duration LoopMonitor::StallBefore(Clock::time_point now) const {
+  if (!stalls_.empty()) return now - stalls_.front().begin;
+  const Clock::duration since_heartbeat = now - last_heartbeat_;
+  return since_heartbeat > kMinStall ? since_heartbeat : Clock::duration(0);
 }
 
 }  // namespace postspread::net
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -1,5 +1,5 @@
-// Notices that the event loop stood still: the process was stopped, or starved of its core. What is read
-// right after that may have come long before, and its client has waited since.
+// Detects stalls of the event loop: the process was stopped, or had no processor. What is read right after a
+// stall may have arrived long before, and its client has waited since.
 #ifndef POSTSPREAD_NET_LOOP_MONITOR_H_
 #define POSTSPREAD_NET_LOOP_MONITOR_H_
 
@@ -14,20 +14,21 @@
  public:
   explicit LoopMonitor(event_base* base);
 
-  // How long ago something that is read at `now` may have come, at most; 0 where the loop has not stood still
-  // for longer than the platform's slack allows for anyway.
-  [[nodiscard]] Clock::duration StoodStill(Clock::time_point now) const;
+  // How long before `now` a stall began during which something that is read now may have arrived; 0 where
+  // there was none.
+  [[nodiscard]] Clock::duration StallBefore(Clock::time_point now) const;
 
  private:
-  void Beat();
-
-  Timer beat_;
-  Clock::time_point last_beat_ = Clock::now();
-  // Standstills of late, whose remains at the sockets may still be read.
-  struct Standstill {
-    Clock::time_point begin, end;
+  struct Stall {
+    Clock::time_point begin;
+    Clock::time_point end;
   };
-  std::deque<Standstill> standstills_;
+
+  void OnHeartbeat();
+
+  Timer heartbeat_;
+  Clock::time_point last_heartbeat_ = Clock::now();
+  std::deque<Stall> stalls_;  // recent ones: what arrived meanwhile may still be unread
 };
 
 }  // namespace postspread::net
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -4,6 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cstring>
 #include <stdexcept>
 #include <utility>
@@ -11,10 +12,12 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::size_t kMaxDatagram = 1'500;  // what is longer is no datagram of ours: cut, it is refused
-constexpr unsigned kDatagramsATurn = 16;     // read before the loop turns to others
+constexpr std::size_t kMaxDatagramBytes = 1'500;  // a longer one is none of ours: cut off, it is rejected
+constexpr unsigned kMaxDatagramsPerTurn = 16;     // before the event loop turns to other sockets
+constexpr int kPortBits = 16;
+constexpr std::uint64_t kPortMask = 0xffff;
 
-bool IsSame(const sockaddr_storage& from, const config::Address& peer) {
+bool IsSameAddress(const sockaddr_storage& from, const config::Address& peer) {
   if (from.ss_family != peer.get()->sa_family) return false;
   if (from.ss_family == AF_INET) {
     const auto& a = reinterpret_cast<const sockaddr_in&>(from);
@@ -29,25 +32,25 @@
 }  // namespace
 
 PeerLink::PeerLink(event_base* base, const config::Address& listen, std::vector<config::Address> peers,
-                   std::optional<config::Address> all, bool shared, OnDatagram on_datagram)
+                   std::optional<config::Address> all, AddressSharing sharing, OnDatagram on_datagram)
     : peers_(std::move(peers)), all_(std::move(all)), on_datagram_(std::move(on_datagram)) {
-  Open(base, listen, shared);
+  Open(base, listen, sharing);
 }
 
-PeerLink::PeerLink(event_base* base, const config::Address& listen, bool shared,
+PeerLink::PeerLink(event_base* base, const config::Address& listen, AddressSharing sharing,
                    OnPeerDatagram on_peer_datagram)
     : on_peer_datagram_(std::move(on_peer_datagram)) {
-  Open(base, listen, shared);
+  Open(base, listen, sharing);
 }
 
-void PeerLink::Open(event_base* base, const config::Address& listen, bool shared) {
+void PeerLink::Open(event_base* base, const config::Address& listen, AddressSharing sharing) {
   OpenWithRetries([&] {
     fd_ = socket(listen.get()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     return fd_ >= 0;
   });
-  // The kernel gives datagrams to the process that bound last: the one that stays.
   const int one = 1;
-  if (fd_ >= 0 && shared) setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  if (fd_ >= 0 && sharing == AddressSharing::kShared)
+    setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (fd_ < 0 || bind(fd_, listen.get(), listen.size()) != 0) {
     if (fd_ >= 0) close(fd_);
     throw std::runtime_error("can't listen for peers on " + listen.text());
@@ -73,21 +76,22 @@
 }
 
 std::uint64_t PeerLink::PeerIdOf(const sockaddr_in& address) {
-  return std::uint64_t{ntohl(address.sin_addr.s_addr)} << 16 | ntohs(address.sin_port);
+  return std::uint64_t{ntohl(address.sin_addr.s_addr)} << kPortBits | ntohs(address.sin_port);
 }
 
 std::string PeerLink::TextOf(std::uint64_t peer) {
-  std::string out;
-  for (int shift = 40; shift >= 16; shift -= 8)
-    out += std::to_string(peer >> shift & 0xff) + (shift > 16 ? "." : ":");
-  return out + std::to_string(peer & 0xffff);
+  std::string text;
+  for (int shift = 40; shift >= kPortBits; shift -= 8) {
+    text += std::to_string(peer >> shift & 0xff) + (shift > kPortBits ? "." : ":");
+  }
+  return text + std::to_string(peer & kPortMask);
 }
 
 void PeerLink::SendTo(std::uint64_t peer, std::string_view bytes) {
   sockaddr_in to{};
   to.sin_family = AF_INET;
-  to.sin_addr.s_addr = htonl(static_cast<std::uint32_t>(peer >> 16));
-  to.sin_port = htons(static_cast<std::uint16_t>(peer & 0xffff));
+  to.sin_addr.s_addr = htonl(static_cast<std::uint32_t>(peer >> kPortBits));
+  to.sin_port = htons(static_cast<std::uint16_t>(peer & kPortMask));
   [[maybe_unused]] const ssize_t sent = sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL,
                                                reinterpret_cast<const sockaddr*>(&to), sizeof to);
 }
@@ -104,31 +108,28 @@
 }
 
 void PeerLink::Read() {
-  // One at a time: not every platform carries the call that takes several at once, and a loop told for ever
-  // that there is something to read would spin.
-  for (unsigned i = 0; i < kDatagramsATurn; ++i) {
-    char bytes[kMaxDatagram];
+  // One at a time: not every platform has the call that receives several at once.
+  for (unsigned i = 0; i < kMaxDatagramsPerTurn; ++i) {
+    char bytes[kMaxDatagramBytes];
     sockaddr_storage from{};
-    socklen_t size = sizeof from;
-    const ssize_t got =
-        recvfrom(fd_, bytes, sizeof bytes, MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) return;
-    if (on_peer_datagram_) {
-      if (from.ss_family != AF_INET) continue;
-      on_peer_datagram_(PeerIdOf(reinterpret_cast<const sockaddr_in&>(from)),
-                        {bytes, static_cast<std::size_t>(got)});
-      continue;
-    }
-    int rank = 0;
-    while (rank < static_cast<int>(peers_.size()) && !IsSame(from, peers_[static_cast<std::size_t>(rank)])) {
-      ++rank;
-    }
-    if (rank == static_cast<int>(peers_.size())) {
-      strange_("datagram dropped", "its sender is no peer");
-      continue;
-    }
-    on_datagram_(rank, {bytes, static_cast<std::size_t>(got)});
+    socklen_t from_size = sizeof from;
+    const ssize_t size =
+        recvfrom(fd_, bytes, sizeof bytes, MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &from_size);
+    if (size < 0) return;
+    Receive(from, {bytes, static_cast<std::size_t>(size)});
   }
 }
 
+void PeerLink::Receive(const sockaddr_storage& from, std::string_view bytes) {
+  if (on_peer_datagram_) {
+    if (from.ss_family != AF_INET) return;
+    return on_peer_datagram_(PeerIdOf(reinterpret_cast<const sockaddr_in&>(from)), bytes);
+  }
+  const auto sender = std::find_if(peers_.begin(), peers_.end(), [&from](const config::Address& peer) {
+    return IsSameAddress(from, peer);
+  });
+  if (sender == peers_.end()) return unknown_sender_log_("datagram dropped", "its sender is no peer");
+  on_datagram_(static_cast<int>(sender - peers_.begin()), bytes);
+}
+
 }  // namespace postspread::net
--- a/src/ops/admin_calls.h
+++ b/src/ops/admin_calls.h
@@ -1,36 +1,42 @@
-// What the operators' calls mean. No sockets.
+// The operators' calls: paths, methods and responses. No sockets.
 #ifndef POSTSPREAD_OPS_ADMIN_CALLS_H_
 #define POSTSPREAD_OPS_ADMIN_CALLS_H_
 
 #include <string>
 #include <string_view>
 
+#include "ops/lifecycle.h"
+
 namespace postspread::ops {
 
-struct Answer {
+struct AdminResponse {
   int status = 200;
   std::string body;   // plain text, with a line end
-  std::string allow;  // with 405: the method that the path has
+  std::string allow;  // with 405: the method that the path takes
+};
+
+struct Readiness {
+  bool is_ready = false;
+  std::string_view state;  // of the lifecycle, by name
 };
 
-// Who carries the calls out.
+// Carries the calls out.
 class AdminHandler {
  public:
-  // Whether it serves; `state` is told in plain words.
-  virtual bool Ready(std::string_view& state) = 0;
+  virtual Readiness CheckReadiness() = 0;
+  // In the text format of Prometheus.
   virtual std::string Metrics() = 0;
-  // The membership view as JSON; empty: it is off.
+  // The membership view as JSON; empty where it is off.
   virtual std::string Membership() = 0;
-  // False: too late, the process is stopping.
-  virtual bool Drain() = 0;
-  virtual bool Activate() = 0;
+  virtual AdminResult Drain() = 0;
+  virtual AdminResult Activate() = 0;
 
  protected:
   ~AdminHandler() = default;
 };
 
-// `target` as the request line has it; what follows a '?' is not looked at.
-Answer Call(std::string_view method, std::string_view target, AdminHandler& handler);
+// `target` as in the request line; a query is ignored.
+AdminResponse Call(std::string_view method, std::string_view target, AdminHandler& handler);
 
 }  // namespace postspread::ops
 
--- a/src/ops/lifecycle.cpp
+++ b/src/ops/lifecycle.cpp
@@ -5,48 +5,49 @@
 namespace postspread::ops {
 namespace {
 
-constexpr std::chrono::milliseconds kLongestCommand{2'000};
-constexpr std::chrono::milliseconds kLongestWait{3'000};  // of the platform before it kills, and ...
-constexpr std::chrono::milliseconds kMore{700};           // ... so much more
-constexpr std::chrono::milliseconds kSpare{100};          // of that, for the way out
+constexpr std::chrono::milliseconds kMaxCommandTime{2'000};  // that a client may take to write a command
+// The platform kills the process this long after SIGTERM at the latest, ...
+constexpr std::chrono::milliseconds kMaxStopTime{3'000};
+constexpr std::chrono::milliseconds kStopGrace{700};  // ... plus this
+constexpr std::chrono::milliseconds kExitTime{100};   // of the grace, for the end of the process
 
 }  // namespace
 
-bool Lifecycle::Drain(Clock::time_point now) {
-  if (stopped_) return false;
-  if (!drained_) drained_ = now;
-  return true;
+AdminResult Lifecycle::Drain(Clock::time_point now) {
+  if (stopped_at_) return AdminResult::kStopping;
+  if (!drained_at_) drained_at_ = now;
+  return AdminResult::kDone;
 }
 
-bool Lifecycle::Activate() {
-  if (stopped_) return false;
-  drained_.reset();
-  return true;
+AdminResult Lifecycle::Activate() {
+  if (stopped_at_) return AdminResult::kStopping;
+  drained_at_.reset();
+  return AdminResult::kDone;
 }
 
 bool Lifecycle::TakesRequests(Clock::time_point now, std::chrono::microseconds longest_deadline) const {
-  if (stopped_) return now < AnswerBy(longest_deadline);
-  return !drained_ || now < *drained_ + kOperatorDrain.commands_until;
+  if (stopped_at_) return now < AnswerBy(longest_deadline);
+  return !drained_at_ || now < *drained_at_ + kOperatorDrain.commands_until;
 }
 
 void Lifecycle::Stop(Clock::time_point now) {
-  if (!stopped_) stopped_ = now;
+  if (!stopped_at_) stopped_at_ = now;
 }
 
 Lifecycle::Clock::time_point Lifecycle::CommandsUntil(std::chrono::microseconds longest_deadline) const {
-  return stopped_.value_or(Clock::time_point()) +
-         std::min<std::chrono::microseconds>(longest_deadline, kLongestCommand);
+  return stopped_at_.value_or(Clock::time_point()) +
+         std::min<std::chrono::microseconds>(longest_deadline, kMaxCommandTime);
 }
 
 Lifecycle::Clock::time_point Lifecycle::AnswerBy(std::chrono::microseconds longest_deadline) const {
-  return stopped_.value_or(Clock::time_point()) +
-         std::min<std::chrono::microseconds>(longest_deadline, kLongestWait) + kMore - kSpare;
+  return stopped_at_.value_or(Clock::time_point()) +
+         std::min<std::chrono::microseconds>(longest_deadline, kMaxStopTime) + kStopGrace - kExitTime;
 }
 
 Lifecycle::State Lifecycle::state() const {
-  if (stopped_) return State::kStopping;
-  if (drained_) return State::kDraining;
-  return able_ ? State::kServing : State::kStarting;
+  if (stopped_at_) return State::kStopping;
+  if (drained_at_) return State::kDraining;
+  return dependencies_ == Dependencies::kAvailable ? State::kServing : State::kStarting;
 }
 
 std::string_view Name(Lifecycle::State state) {
--- a/src/ops/metrics.cpp
+++ b/src/ops/metrics.cpp
@@ -22,38 +22,38 @@
 }
 
 MetricFamily Counter(const char* name, const char* help, std::uint64_t value) {
-  MetricFamily out = Family(name, help, MetricType::Counter);
-  out.metric.emplace_back().counter.value = static_cast<double>(value);
-  return out;
+  MetricFamily family = Family(name, help, MetricType::Counter);
+  family.metric.emplace_back().counter.value = static_cast<double>(value);
+  return family;
 }
 
 MetricFamily Gauge(const char* name, const char* help, std::size_t value) {
-  MetricFamily out = Family(name, help, MetricType::Gauge);
-  out.metric.emplace_back().gauge.value = static_cast<double>(value);
-  return out;
+  MetricFamily family = Family(name, help, MetricType::Gauge);
+  family.metric.emplace_back().gauge.value = static_cast<double>(value);
+  return family;
 }
 
 MetricFamily ByClass(const char* name, const char* help, const Metrics& metrics,
                      std::uint64_t ClassMetrics::*member) {
-  MetricFamily out = Family(name, help, MetricType::Counter);
+  MetricFamily family = Family(name, help, MetricType::Counter);
   for (const auto& [class_name, counts] : metrics.classes) {
-    ClientMetric& metric = out.metric.emplace_back();
+    ClientMetric& metric = family.metric.emplace_back();
     metric.label.push_back({"lane", class_name});
     metric.counter.value = static_cast<double>(counts.*member);
   }
-  return out;
+  return family;
 }
 
 template <typename T>
 MetricFamily Labelled(const char* name, const char* help, MetricType type, const char* label,
                       const std::map<std::string, T>& values) {
-  MetricFamily out = Family(name, help, type);
+  MetricFamily family = Family(name, help, type);
   for (const auto& [word, value] : values) {
-    ClientMetric& metric = out.metric.emplace_back();
+    ClientMetric& metric = family.metric.emplace_back();
     metric.label.push_back({label, word});
     (type == MetricType::Gauge ? metric.gauge.value : metric.counter.value) = static_cast<double>(value);
   }
-  return out;
+  return family;
 }
 
 // The counts of an enumeration's values, under their names.
@@ -100,33 +100,34 @@
       return "evicted";
     case CloseReason::kProtocolError:
       return "protocol_error";
-    case CloseReason::kUntaken:
+    case CloseReason::kWriteTimeout:
       return "untaken";
-    case CloseReason::kBrokenValue:
+    case CloseReason::kStreamAborted:
       return "broken_value";
-    case CloseReason::kTurnedAway:
+    case CloseReason::kRejected:
       return "turned_away";
   }
   return "";
 }
 
-std::string_view Name(RefusalReason reason) {
+std::string_view Name(RejectReason reason) {
   switch (reason) {
-    case RefusalReason::kTooManyHeld:
+    case RejectReason::kTooManyInFlight:
       return "too_many_held";
-    case RefusalReason::kNoMemory:
+    case RejectReason::kNoMemory:
       return "no_memory";
-    case RefusalReason::kDecision:
+    case RejectReason::kDecision:
       return "decision";
-    case RefusalReason::kLeaving:
+    case RejectReason::kDraining:
       return "leaving";
-    case RefusalReason::kNoTimeLeft:
+    case RejectReason::kDeadlineExceeded:
       return "no_time_left";
   }
   return "";
 }
 
-std::string Render(const Metrics& metrics, const Levels& levels) {
+// One line a metric; longer than a function should be, as it is a table.
+std::string Render(const Metrics& metrics, const Gauges& gauges) {
   std::vector<MetricFamily> out{
       ByClass("completed", "Requests served", metrics, &ClassMetrics::completed),
       ByClass("rejected", "Requests refused", metrics, &ClassMetrics::rejected),
@@ -138,21 +139,21 @@
       Labelled("client_connections_closed", "Connections of clients by why they ended", MetricType::Counter,
                "reason", ByName<CloseReason>(metrics.connections_closed)),
       Labelled("refusals", "Requests refused by what refused them", MetricType::Counter, "reason",
-               ByName<RefusalReason>(metrics.refusals)),
+               ByName<RejectReason>(metrics.rejections)),
       Labelled("rule_violations", "Rules on what may be sent, repeated or closed that were broken",
                MetricType::Counter, "rule", ByName<safety::Rule>(metrics.rules.violated)),
       Labelled("rule_preventions", "What was not done, for it would have broken a rule", MetricType::Counter,
                "rule", ByName<safety::Rule>(metrics.rules.prevented)),
-      Gauge("client_connections", "Connections of clients", levels.client_connections),
-      Gauge("pending", "Requests taken and not ended", levels.pending),
-      Gauge("members", "Workers in the list", levels.members),
-      Gauge("members_unavailable", "Listed workers that are avoided now", levels.members_unavailable),
+      Gauge("client_connections", "Connections of clients", gauges.client_connections),
+      Gauge("pending", "Requests taken and not ended", gauges.pending),
+      Gauge("members", "Workers in the list", gauges.members),
+      Gauge("members_unavailable", "Listed workers that are avoided now", gauges.members_unavailable),
       Counter("config_reloads", "Configurations taken on at SIGHUP", metrics.config_reloads),
       Counter("config_reload_errors", "Configurations turned down at SIGHUP", metrics.config_reload_errors),
       Counter("over_quota_answers", "Answers that told of a customer beyond its quota",
-              metrics.over_quota_answers),
-      Counter("odd_use", "Answers whose figures on use could not be read", metrics.odd_use)};
-  if (levels.membership) AddMembership(*levels.membership, out);
+              metrics.over_quota_responses),
+      Counter("odd_use", "Answers whose figures on use could not be read", metrics.unreadable_usage_reports)};
+  if (gauges.membership) AddMembership(*gauges.membership, out);
   return prometheus::TextSerializer().Serialize(out);
 }
 
--- a/src/safety/attempt_rules.cpp
+++ b/src/safety/attempt_rules.cpp
@@ -5,7 +5,7 @@
 namespace postspread::safety {
 
 std::optional<Rule> MayBegin(const AttemptFacts& facts, Clock::time_point now) {
-  if (const std::optional<Rule> broken = MayProbe(facts)) return broken;
+  if (const std::optional<Rule> violated = MayProbe(facts)) return violated;
   if (now >= facts.deadline) return Rule::kDeadline;
   if (now + facts.way >= facts.begin_by) return Rule::kRepeatWindow;
   if (!facts.client_waits) return Rule::kClientWaits;
@@ -17,11 +17,12 @@
   return std::nullopt;
 }
 
-std::optional<Rule> MayRetry(RetrySafety effect, std::span<const EarlierAttempt> earlier) {
-  if (effect != RetrySafety::kNotIdempotent) return std::nullopt;
-  const bool runs = std::any_of(earlier.begin(), earlier.end(),
-                                [](const EarlierAttempt& a) { return a.out || a.may_have_run; });
-  if (runs) return Rule::kRunsOnce;
+std::optional<Rule> MayRetry(RetrySafety retry_safety, std::span<const EarlierAttempt> earlier) {
+  if (retry_safety != RetrySafety::kNotIdempotent) return std::nullopt;
+  const bool may_run = std::any_of(earlier.begin(), earlier.end(), [](const EarlierAttempt& attempt) {
+    return attempt.in_flight || attempt.may_have_run;
+  });
+  if (may_run) return Rule::kRunsOnce;
   return std::nullopt;
 }
 
--- a/src/safety/attempt_rules.h
+++ b/src/safety/attempt_rules.h
@@ -1,5 +1,5 @@
-// Whether a delivery attempt may begin now, and whether a request may be sent again. Asked when an attempt is
-// decided and again in the moment in which its first byte leaves. No clock, no I/O.
+// Whether a delivery attempt may start now, and whether a request may be retried. Asked when an attempt is
+// decided, and again when its first byte is about to be sent. No clock, no I/O.
 #ifndef POSTSPREAD_SAFETY_ATTEMPT_RULES_H_
 #define POSTSPREAD_SAFETY_ATTEMPT_RULES_H_
 
@@ -16,29 +16,30 @@
 
 // What is known of an attempt at this moment.
 struct AttemptFacts {
-  bool client_waits = false;         // looked at now, at its socket
-  bool upstream_ready = false;       // by the newest list
-  bool connection_current = false;   // it leads to the process and address that the list names
-  std::chrono::microseconds way{0};  // how long the first byte takes to arrive, at most
-  Clock::time_point begin_by;        // its first byte may not arrive later
-  Clock::time_point deadline;        // by which its client wants the answer
+  bool client_waits = false;         // as its socket says now
+  bool upstream_ready = false;       // by the newest endpoint list
+  bool connection_current = false;   // to the process and address that the list names
+  std::chrono::microseconds way{0};  // maximum time for the first byte to arrive
+  Clock::time_point begin_by;        // the first byte must arrive by then
+  Clock::time_point deadline;        // of its request
 };
 
-// The rule that forbids to begin it; nothing: it may begin.
+// The rule that prevents it; nothing: it may start.
 std::optional<Rule> MayBegin(const AttemptFacts& facts, Clock::time_point now);
 
-// The same for a probe, which belongs to no request.
+// The same for a health check, which belongs to no request.
 std::optional<Rule> MayProbe(const AttemptFacts& facts);
 
-// An attempt that was made for the request before.
+// An earlier attempt of the same request.
 struct EarlierAttempt {
-  bool out = false;           // it has not ended
-  bool may_have_run = false;  // it has ended, and may have been carried out
+  bool in_flight = false;     // it has not ended
+  bool may_have_run = false;  // it has ended, and the upstream may have executed it
 };
 
-// The rule that forbids a further attempt of a request whose class has this effect; nothing: it may be sent.
-// Where repeats of keyed requests may go is the decision module's; how long is MayBegin's.
-std::optional<Rule> MayRetry(RetrySafety effect, std::span<const EarlierAttempt> earlier);
+// The rule that prevents a retry of a request whose class has this retry safety; nothing: it may be sent.
+// Which upstreams may retry a request with an idempotency key is the planner's decision; until when,
+// MayBegin's.
+std::optional<Rule> MayRetry(RetrySafety retry_safety, std::span<const EarlierAttempt> earlier);
 
 }  // namespace postspread::safety
 
--- a/src/safety/rules.h
+++ b/src/safety/rules.h
@@ -1,4 +1,4 @@
-// The rules on what may be sent, repeated, closed or taken on, by name, and how often each was in play. The
+// The rules on what may be sent, retried, closed or admitted, by name, and how often each applied. The
 // decisions themselves: attempt_rules.h and connection_rules.h. No clock, no I/O.
 #ifndef POSTSPREAD_SAFETY_RULES_H_
 #define POSTSPREAD_SAFETY_RULES_H_
@@ -11,16 +11,15 @@
 namespace postspread::safety {
 
 enum class Rule {
-  kClientWaits,    // an attempt begins only while somebody waits for its answer
-  kUpstreamReady,  // ... only at an upstream that is listed as ready, and over a connection to its current
-                   // process
-  kRepeatWindow,   // ... only where its first byte arrives before the window of its key is over
-  kDeadline,       // ... only before its deadline, and tells the upstream no more time than is left
-  kRunsOnce,       // what may run once only is sent again only where no attempt is out or may have run
-  kAnswerBeforeClose,  // a connection is closed only when every request taken from it is answered
-  kAnswerDelivered,    // ... and its client has acknowledged every byte of the answers
+  kClientWaits,        // an attempt starts only while a client waits for its response
+  kUpstreamReady,      // ... only at an upstream that is ready, over a connection to its current process
+  kRepeatWindow,       // ... only where its first byte arrives within the window of its idempotency key
+  kDeadline,           // ... only before its deadline, and with the time that is left
+  kRunsOnce,           // what is not idempotent is retried only where no attempt is in flight or may have run
+  kAnswerBeforeClose,  // a connection is closed only when every request taken from it has its response
+  kAnswerDelivered,    // ... and its client has acknowledged every byte of the responses
   kDrainInTime,        // a drain leaves no connection idle or with a recent request
-  kAnswerBeforeExit,   // a process ends only when every request is answered
+  kAnswerBeforeExit,   // a process ends only when every request has its response
 };
 inline constexpr std::size_t kRules = 9;
 
@@ -31,10 +30,10 @@
   return kNames[static_cast<std::size_t>(rule)];
 }
 
-// Counted by whoever carries out what the rules decide.
+// Counted by whoever executes what the rules decide.
 struct RuleCounts {
-  std::array<std::uint64_t, kRules> prevented{};  // something was about to break the rule, and was not done
-  std::array<std::uint64_t, kRules> violated{};   // the rule was broken
+  std::array<std::uint64_t, kRules> prevented{};  // what would have violated the rule was not done
+  std::array<std::uint64_t, kRules> violated{};   // what was done violated the rule
   void Prevented(Rule rule) { ++prevented[static_cast<std::size_t>(rule)]; }
   void Violated(Rule rule) { ++violated[static_cast<std::size_t>(rule)]; }
 };
--- a/tests/flow/arrival_times_test.cpp
+++ b/tests/flow/arrival_times_test.cpp
@@ -1,3 +1,4 @@
+// When buffered bytes arrived, in modelled time.
 #include "flow/arrival_times.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +10,7 @@
 
 ArrivalTimes::TimePoint At(int ms) { return ArrivalTimes::TimePoint(milliseconds(ms)); }
 
-TEST_CASE("a request came with its last byte, whatever is read behind it") {
+TEST_CASE("a request arrived with its last byte, whatever is read after it") {
   ArrivalTimes times;
   times.Appended(30, At(100));
   times.Appended(50, At(400));
@@ -22,8 +23,7 @@
   CHECK(times.size() == 0);
 }
 
-TEST_CASE(
-    "what comes in very many pieces is told apart no further, and is taken for older, not for younger") {
+TEST_CASE("beyond the maximum of chunks bytes count as older than they are, never as younger") {
   ArrivalTimes times;
   for (int i = 0; i < 1'000; ++i) times.Appended(1, At(i));
   const int last = static_cast<int>(ArrivalTimes::kMaxChunks) - 1;
@@ -33,7 +33,7 @@
   CHECK(times.Of(1) == At(2'000));
 }
 
-TEST_CASE("a request that comes in very many pieces came with the last one") {
+TEST_CASE("a request that arrives in very many chunks arrived with the last one") {
   ArrivalTimes times;
   for (int i = 0; i < 1'000; ++i) times.Continued(1, At(i));
   CHECK(times.Of(1'000) == At(999));
--- a/tests/flow/byte_budget_test.cpp
+++ b/tests/flow/byte_budget_test.cpp
@@ -1,4 +1,4 @@
-// The byte budget: what is reserved never passes the total, and nobody waits for ever.
+// The byte budget: reservations never exceed the total, and no waiter starves.
 #include "flow/byte_budget.h"
 
 #include <catch2/catch.hpp>
@@ -9,52 +9,63 @@
 namespace {
 
 struct Client final : ByteBudget::Waiter {
-  std::size_t wants = 0, has = 0;
-  bool waits = false;
-  void Granted() override { waits = false, has = wants; }
+  std::size_t wanted = 0;
+  std::size_t reserved = 0;
+  bool is_queued = false;
+  void OnGranted() override {
+    is_queued = false;
+    reserved = wanted;
+  }
 };
 
-TEST_CASE("who asks first gets its bytes first, and small takers do not stop the line") {
+TEST_CASE("first come, first served in the line; small reservations pass it") {
   ByteBudget budget(100);
-  Client a, b;
-  a.wants = 60, b.wants = 10;
+  Client a;
+  Client b;
+  a.wanted = 60;
+  b.wanted = 10;
   CHECK(budget.Take(60));
-  CHECK_FALSE(budget.Ask(a, 60));
-  CHECK_FALSE(budget.Ask(b, 10));  // it would fit, but a is before it
+  CHECK_FALSE(budget.TakeOrQueue(a, 60));
+  CHECK_FALSE(budget.TakeOrQueue(b, 10));  // it would fit, but a is before it
   CHECK(budget.Take(40));
   budget.Give(60);
-  CHECK(a.has == 0);  // what is given can be taken in another form first
+  CHECK(a.reserved == 0);  // what is given can be taken for another purpose first
   budget.Grant();
-  CHECK(a.has == 60);
-  CHECK(b.has == 0);
+  CHECK(a.reserved == 60);
+  CHECK(b.reserved == 0);
 }
 
-TEST_CASE("in any order of asking, giving and leaving the total holds and nobody waits for ever") {
+TEST_CASE("in any order of queueing, giving and leaving the total is kept and no waiter starves") {
   std::mt19937 random(11);
   for (int round = 0; round < 40; ++round) {
     ByteBudget budget(1000);
     Client clients[40];
-    bool held_right = true;
+    bool total_kept = true;
     for (int step = 0; step < 2'200; ++step) {
       Client& client = clients[random() % 40];
-      if (client.has > 0) {
-        budget.Give(std::exchange(client.has, 0));
+      if (client.reserved > 0) {
+        budget.Give(std::exchange(client.reserved, 0));
         budget.Grant();
-      } else if (client.waits) {
-        if (random() % 20 == 0) budget.Leave(client), client.waits = false;
+      } else if (client.is_queued) {
+        if (random() % 20 == 0) {
+          budget.Leave(client);
+          client.is_queued = false;
+        }
       } else if (step < 2'000) {
-        client.wants = 1 + random() % 1000;
-        client.waits = !budget.Ask(client, client.wants);
-        if (!client.waits) client.has = client.wants;
+        client.wanted = 1 + random() % 1000;
+        client.is_queued = !budget.TakeOrQueue(client, client.wanted);
+        if (!client.is_queued) client.reserved = client.wanted;
       }
-      std::size_t held = 0;
-      for (const Client& c : clients) held += c.has;
-      held_right = held_right && held == budget.used() && held <= budget.total();
+      std::size_t reserved = 0;
+      for (const Client& each : clients) reserved += each.reserved;
+      total_kept = total_kept && reserved == budget.used() && reserved <= budget.total();
     }
-    CHECK(held_right);
-    for (int i = 0; i < 4'000; ++i) {  // nobody asks any more: the line moves until nobody stands in it
-      Client& c = clients[i % 40];
-      if (c.has > 0) budget.Give(std::exchange(c.has, 0)), budget.Grant();
+    CHECK(total_kept);
+    for (int i = 0; i < 4'000; ++i) {  // nobody queues any more: the line moves until it is empty
+      Client& client = clients[i % 40];
+      if (client.reserved == 0) continue;
+      budget.Give(std::exchange(client.reserved, 0));
+      budget.Grant();
     }
     CHECK(budget.waiting() == 0);
     CHECK(budget.used() == 0);
--- a/tests/flow/datagram_budget_test.cpp
+++ b/tests/flow/datagram_budget_test.cpp
@@ -1,4 +1,4 @@
-// The one budget of datagrams: its pace, and who goes before whom.
+// The budget of datagrams: its rate and its order of precedence.
 #include "flow/datagram_budget.h"
 
 #include <catch2/catch.hpp>
@@ -9,39 +9,38 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-TEST_CASE(
-    "all datagrams together keep to the pace, and the view goes before keys and keys before the telling") {
+TEST_CASE("all kinds together keep to the rate: membership before idempotency, and that before usage") {
   DatagramBudget budget(40);
   Clock::time_point now{std::chrono::seconds(100)};
-  const auto take = [&](Datagram datagram, std::size_t receivers = 1) {
-    int out = 0;
-    while (out < 1'000 && budget.Take(datagram, receivers, now)) ++out;
-    return out;
+  const auto take = [&](DatagramKind kind, std::size_t receivers = 1) {
+    int sent = 0;
+    while (sent < 1'000 && budget.Take(kind, receivers, now)) ++sent;
+    return sent;
   };
-  // What each leaves to those before it: 0.4 and 0.25 of a second's datagrams.
-  CHECK(take(Datagram::kDemand) == 24);
-  CHECK(take(Datagram::kKeys) == 6);
-  CHECK(take(Datagram::kFleet) == 10);
-  CHECK_FALSE(budget.Take(Datagram::kFleet, 1, now));
+  // Reserved for those before each: 0.4 and 0.25 of a second's tokens.
+  CHECK(take(DatagramKind::kUsage) == 24);
+  CHECK(take(DatagramKind::kIdempotency) == 6);
+  CHECK(take(DatagramKind::kMembership) == 10);
+  CHECK_FALSE(budget.Take(DatagramKind::kMembership, 1, now));
   CHECK(budget.held_back() > 0);
-  // A second of floods: no more than the pace, whoever sends.
+  // A second of floods: no more than the rate, whatever the kinds.
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
     now += milliseconds(10);
-    sent += take(Datagram::kDemand) + take(Datagram::kKeys) + take(Datagram::kFleet);
+    sent += take(DatagramKind::kUsage) + take(DatagramKind::kIdempotency) + take(DatagramKind::kMembership);
   }
   CHECK(sent >= 39);
   CHECK(sent <= 41);
-  // One to many goes whole, and the next ones wait for it.
+  // One to many is sent to all, and the next ones wait for the refill.
   now += std::chrono::seconds(10);
-  CHECK(budget.Take(Datagram::kDemand, 299, now));
+  CHECK(budget.Take(DatagramKind::kUsage, 299, now));
   now += std::chrono::seconds(6);
-  CHECK_FALSE(budget.Take(Datagram::kFleet, 1, now));
+  CHECK_FALSE(budget.Take(DatagramKind::kMembership, 1, now));
   now += std::chrono::seconds(1);
-  CHECK(budget.Take(Datagram::kFleet, 1, now));
-  // Without a bound none is kept.
-  DatagramBudget free(0);
-  CHECK(free.Take(Datagram::kDemand, 10'000, now));
+  CHECK(budget.Take(DatagramKind::kMembership, 1, now));
+  // Unlimited.
+  DatagramBudget unlimited(0);
+  CHECK(unlimited.Take(DatagramKind::kUsage, 10'000, now));
 }
 
 }  // namespace
--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -1,4 +1,4 @@
-// The state of the process, the operators' calls and the figures, without sockets and in modelled time.
+// The lifecycle, the operators' calls and the metrics, without sockets and in modelled time.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -11,89 +11,98 @@
 
 using std::chrono::milliseconds;
 using State = Lifecycle::State;
+using Dependencies = Lifecycle::Dependencies;
 const Lifecycle::Clock::time_point kNow{std::chrono::hours(5)};
 
-TEST_CASE("one state of the process: what has come decides, in whichever order") {
+TEST_CASE("the state of the lifecycle, whatever the order of calls") {
   Lifecycle lifecycle;
   CHECK(lifecycle.state() == State::kStarting);
-  CHECK(lifecycle.Drain(kNow));  // before it is able: holds once it is
-  CHECK(lifecycle.Drain(kNow));
-  lifecycle.SetAble(true);
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);  // before its dependencies: holds once they are there
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
+  lifecycle.SetDependencies(Dependencies::kAvailable);
   CHECK(lifecycle.state() == State::kDraining);
-  CHECK(lifecycle.Activate());
-  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.Activate() == AdminResult::kDone);
+  CHECK(lifecycle.Activate() == AdminResult::kDone);
   CHECK(lifecycle.serves());
-  lifecycle.SetAble(false);
+  lifecycle.SetDependencies(Dependencies::kUnavailable);
   CHECK_FALSE(lifecycle.serves());
-  CHECK(lifecycle.Drain(kNow));
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
   lifecycle.Stop(kNow);  // in mid-drain, and final
-  CHECK_FALSE(lifecycle.Activate());
-  CHECK_FALSE(lifecycle.Drain(kNow));
+  CHECK(lifecycle.Activate() == AdminResult::kStopping);
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kStopping);
   CHECK(lifecycle.state() == State::kStopping);
   CHECK(lifecycle.CommandsUntil(milliseconds(1'200)) == kNow + milliseconds(1'200));
   CHECK(lifecycle.CommandsUntil(milliseconds(8'000)) == kNow + milliseconds(2'000));
 }
 
-TEST_CASE("kept connections are closed spread over the time, after new clients have ceased to come") {
+TEST_CASE("a drain closes connections spread over its time, after new clients have ceased to come") {
   for (std::size_t i = 1; i < 400; ++i)
     CHECK(kOperatorDrain.After(i - 1, 400) <= kOperatorDrain.After(i, 400));
   CHECK(kOperatorDrain.After(200, 400) > milliseconds(700));  // half of them later than this
   CHECK(kOperatorDrain.After(399, 400) == kOperatorDrain.last);
   CHECK(kOperatorDrain.After(0, 1) == kOperatorDrain.first);
-  // The front asks every 0.1 s and sends on for 0.2 s; at 4 s no request may be younger than 2 s.
+  // The load balancer polls every 0.1 s and routes here for 0.2 s more; at 4 s no request may be younger than
+  // 2 s.
   CHECK(kOperatorDrain.first > milliseconds(300));
   CHECK(kOperatorDrain.last < milliseconds(2'000));
   CHECK(kOperatorDrain.commands_until < milliseconds(2'000));
 }
 
-TEST_CASE("late in a drain and at the end of a stop no request is taken on") {
+TEST_CASE("late in a drain and at the end of a shutdown no request is admitted") {
   const milliseconds deadline(1'000);
   Lifecycle lifecycle;
   CHECK(lifecycle.TakesRequests(kNow, deadline));
-  CHECK(lifecycle.Drain(kNow));
-  CHECK(lifecycle.Drain(kNow + milliseconds(1'000)));  // the first call counts
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
+  CHECK(lifecycle.Drain(kNow + milliseconds(1'000)) == AdminResult::kDone);  // the first call counts
   CHECK(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until - milliseconds(1), deadline));
   CHECK_FALSE(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until, deadline));
-  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.Activate() == AdminResult::kDone);
   CHECK(lifecycle.TakesRequests(kNow + milliseconds(3'000), deadline));
   lifecycle.Stop(kNow);
   CHECK(lifecycle.TakesRequests(kNow + milliseconds(1'599), deadline));
   CHECK_FALSE(lifecycle.TakesRequests(kNow + milliseconds(1'600), deadline));
 }
 
-struct Scripted final : AdminHandler {
-  bool serves = true, stopping = false;
-  std::string done;
-  bool Ready(std::string_view& state) override { return state = "state", serves; }
-  std::string Metrics() override { return "figures"; }
-  std::string Membership() override { return stopping ? "" : "{}"; }
-  bool Drain() override { return done += "drain ", !stopping; }
-  bool Activate() override { return done += "activate ", !stopping; }
+struct ScriptedHandler final : AdminHandler {
+  bool is_ready = true;
+  bool is_stopping = false;
+  std::string calls;
+  Readiness CheckReadiness() override { return {.is_ready = is_ready, .state = "state"}; }
+  std::string Metrics() override { return "metrics"; }
+  std::string Membership() override { return is_stopping ? "" : "{}"; }
+  AdminResult Drain() override { return Record("drain "); }
+  AdminResult Activate() override { return Record("activate "); }
+
+ private:
+  AdminResult Record(const char* call) {
+    calls += call;
+    return is_stopping ? AdminResult::kStopping : AdminResult::kDone;
+  }
 };
 
-TEST_CASE("calls: paths, methods, and what can't be obeyed") {
-  Scripted handler;
+TEST_CASE("admin calls: paths, methods, and calls that come too late") {
+  ScriptedHandler handler;
   const auto status = [&](const char* method, const char* target) {
     return Call(method, target, handler).status;
   };
   CHECK(status("GET", "/v1/readyz?verbose") == 200);
-  CHECK(Call("GET", "/v1/metrics", handler).body == "figures");
+  CHECK(Call("GET", "/v1/metrics", handler).body == "metrics");
   CHECK(status("GET", "/v1/readyz/") == 404);
   CHECK(status("HEAD", "/v1/readyz") == 405);
   CHECK(Call("GET", "/v1/gatekeeper/drain", handler).allow == "PUT");
-  for (const int wanted : {200, 409}) {
-    handler.stopping = wanted == 409;
-    CHECK(status("GET", "/v1/fleet") == (handler.stopping ? 404 : 200));
-    CHECK(status("PUT", "/v1/gatekeeper/drain") == wanted);
-    CHECK(status("PUT", "/v1/gatekeeper/activate") == wanted);
+  for (const int expected : {200, 409}) {
+    handler.is_stopping = expected == 409;
+    CHECK(status("GET", "/v1/fleet") == (handler.is_stopping ? 404 : 200));
+    CHECK(status("PUT", "/v1/gatekeeper/drain") == expected);
+    CHECK(status("PUT", "/v1/gatekeeper/activate") == expected);
   }
-  CHECK(handler.done == "drain activate drain activate ");
-  handler.serves = false;
+  CHECK(handler.calls == "drain activate drain activate ");
+  handler.is_ready = false;
   CHECK(status("GET", "/v1/readyz") == 503);
   CHECK(Call("GET", "/v1/readyz", handler).body == "state\n");
 }
 
-TEST_CASE("figures: every name, and each class from when it is named") {
+TEST_CASE("metrics: every name, and each class from when it is named") {
   Metrics metrics;
   ClassMetrics& lookup = metrics.Of("lookup");
   for (int i = 0; i < 100; ++i) metrics.Of("other" + std::to_string(i));
