--- a/src/idempotency/claim_protocol.cpp
+++ b/src/idempotency/claim_protocol.cpp
@@ -72,7 +72,7 @@
   if (!entry.claim.awaiting.empty()) return EntryFate::kPresent;
   if (!entry.claim.confirmed) {
     ++counts_.unconfirmed;
-    if (limits_.unvouched == Unvouched::kDefer) {
+    if (limits_.when_unconfirmed == WhenUnconfirmed::kReject) {
       actions_.RejectAll(entry, kStoreFullRetryAfter);
       CancelClaim(entry, now);
       return EntryFate::kRemoved;
@@ -111,7 +111,7 @@
     if (rank == identity_.rank || !peers_.IsAway(rank, now)) living.push_back(rank);
   }
   RankSet replicas;
-  for (const int rank : BestGateways(entry.key, std::move(living), limits_.witnesses)) {
+  for (const int rank : BestGateways(entry.key, std::move(living), limits_.replicas)) {
     if (rank != identity_.rank) replicas.Add(rank);
   }
   return replicas;
@@ -166,7 +166,7 @@
 }
 
 void ClaimProtocol::CancelForCapacity(Entry& entry, TimePoint now) {
-  if (limits_.when_full == WhenFull::kPass) {
+  if (limits_.when_full == WhenFull::kStartUnprotected) {
     counts_.full_unprotected += entry.waiters.size();
     actions_.StartAllUnprotected(entry);
   } else {
--- a/src/idempotency/limits.h
+++ b/src/idempotency/limits.h
@@ -1,4 +1,4 @@
-// What an operator may set of the key store. Values only.
+// The limits of the idempotency store and its protocol that an operator may set.
 #ifndef POSTSPREAD_IDEMPOTENCY_LIMITS_H_
 #define POSTSPREAD_IDEMPOTENCY_LIMITS_H_
 
@@ -7,24 +7,30 @@
 
 namespace postspread::idempotency {
 
-// What becomes of a new key that the store has no room for.
-enum class WhenFull { kDefer, kPass };  // refused with a retry-after; passed on unprotected, and counted
+// What becomes of a new key that the store has no capacity for.
+enum class WhenFull {
+  kReject,            // with a retry-after
+  kStartUnprotected,  // without deduplication, and counted
+};
 
-// What becomes of a new key that nobody can vouch for: this gateway started less than `keep` ago and no
+// What becomes of a new key that no gateway can confirm as new: this one started less than `keep` ago, and no
 // peer that has been up for longer could be asked.
-enum class Unvouched { kPin, kDefer };  // sent to its pod alone, which drops repeats; refused
+enum class WhenUnconfirmed {
+  kStartSticky,  // in the key's upstream group, which drops repeats
+  kReject,       // with a retry-after
+};
 
 struct Limits {
   bool enabled = false;
-  std::size_t memory = 8 << 20;            // bytes of table, answers and waiters together
-  std::chrono::milliseconds keep{60'000};  // for how long a key is remembered from when its request was sent
-  double customer_share = 0.25;            // of `memory`: the most that one customer's keys may take
-  std::size_t max_waiters = 64;            // repeats that wait for one key
-  WhenFull when_full = WhenFull::kDefer;
-  Unvouched unvouched = Unvouched::kPin;
-  std::size_t witnesses = 2;  // gateways of a customer's set that note a key down before its work begins
+  std::size_t memory = 8 << 20;            // bytes of entries, answers and waiters together
+  std::chrono::milliseconds keep{60'000};  // how long a key is remembered after its request was sent
+  double customer_quota = 0.25;            // the fraction of `memory` that one customer's keys may take
+  std::size_t max_waiters = 64;            // requests that wait for one key
+  WhenFull when_full = WhenFull::kReject;
+  WhenUnconfirmed when_unconfirmed = WhenUnconfirmed::kStartSticky;
+  std::size_t replicas = 2;                      // gateways that record a key's claim before its work begins
   std::size_t datagrams_per_second = 20;         // to each peer, at most
-  std::chrono::milliseconds peer_silent{1'500};  // of a peer that is asked and does not answer: it is away
+  std::chrono::milliseconds peer_silent{1'500};  // a peer that leaves questions unanswered this long is away
   bool operator==(const Limits&) const = default;
 };
 
--- a/src/idempotency/replica.cpp
+++ b/src/idempotency/replica.cpp
@@ -11,7 +11,7 @@
 
 IdempotencyReplica::IdempotencyReplica(const Limits& limits, const Identity& identity, TimePoint now)
     : limits_(limits),
-      store_(limits.memory, limits.customer_share),
+      store_(limits.memory, limits.customer_quota),
       peers_(identity.rank, identity.group_size, identity.incarnation, limits),
       actions_(store_, counts_),
       fetcher_(limits_, store_, peers_),
@@ -35,7 +35,7 @@
 void IdempotencyReplica::SetLimits(const Limits& limits) {
   const std::size_t memory = std::exchange(limits_, limits).memory;
   limits_.memory = memory;
-  store_.SetCustomerQuota(limits_.customer_share);
+  store_.SetCustomerQuota(limits_.customer_quota);
   peers_.SetLimits(limits_);
 }
 
@@ -130,7 +130,7 @@
 }
 
 void IdempotencyReplica::OnStoreFull(const Waiter& waiter) {
-  if (limits_.when_full == WhenFull::kPass) {
+  if (limits_.when_full == WhenFull::kStartUnprotected) {
     ++counts_.full_unprotected;
     actions_.StartUnprotected(waiter);
   } else {
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -59,13 +59,14 @@
 int ParseWhenFull(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
   using idempotency::WhenFull;
   return ParseWord<WhenFull>(cfg, opt, value, result, "defer, pass",
-                             {{"defer", WhenFull::kDefer}, {"pass", WhenFull::kPass}});
+                             {{"defer", WhenFull::kReject}, {"pass", WhenFull::kStartUnprotected}});
 }
 
 int ParseUnvouched(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  using idempotency::Unvouched;
-  return ParseWord<Unvouched>(cfg, opt, value, result, "pin, defer",
-                              {{"pin", Unvouched::kPin}, {"defer", Unvouched::kDefer}});
+  using idempotency::WhenUnconfirmed;
+  return ParseWord<WhenUnconfirmed>(
+      cfg, opt, value, result, "pin, defer",
+      {{"pin", WhenUnconfirmed::kStartSticky}, {"defer", WhenUnconfirmed::kReject}});
 }
 
 // ---- idempotency { ... }
@@ -84,11 +85,11 @@
   out.enabled = cfg_getbool(block, "enabled") == cfg_true;
   out.memory = static_cast<std::size_t>(cfg_getint(block, "memory"));
   out.keep = std::chrono::milliseconds(cfg_getint(block, "keep"));
-  out.customer_share = cfg_getfloat(block, "customer_share");
+  out.customer_quota = cfg_getfloat(block, "customer_share");
   out.max_waiters = static_cast<std::size_t>(cfg_getint(block, "max_waiters"));
   out.when_full = static_cast<idempotency::WhenFull>(cfg_getint(block, "when_full"));
-  out.unvouched = static_cast<idempotency::Unvouched>(cfg_getint(block, "unvouched"));
-  out.witnesses = static_cast<std::size_t>(cfg_getint(block, "witnesses"));
+  out.when_unconfirmed = static_cast<idempotency::WhenUnconfirmed>(cfg_getint(block, "unvouched"));
+  out.replicas = static_cast<std::size_t>(cfg_getint(block, "witnesses"));
   out.datagrams_per_second = static_cast<std::size_t>(cfg_getint(block, "datagrams_per_second"));
   out.peer_silent = std::chrono::milliseconds(cfg_getint(block, "peer_silent"));
   return out;
@@ -148,11 +149,11 @@
       CFG_BOOL_CB("enabled", keys.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
       CFG_INT_CB("memory", static_cast<long>(keys.memory), CFGF_NONE, ParseSize),
       CFG_INT_CB("keep", keys.keep.count(), CFGF_NONE, ParseSpan),
-      CFG_FLOAT_CB("customer_share", keys.customer_share, CFGF_NONE, ParseShare),
+      CFG_FLOAT_CB("customer_share", keys.customer_quota, CFGF_NONE, ParseShare),
       CFG_INT_CB("max_waiters", static_cast<long>(keys.max_waiters), CFGF_NONE, ParseCount),
       CFG_INT_CB("when_full", static_cast<long>(keys.when_full), CFGF_NONE, ParseWhenFull),
-      CFG_INT_CB("unvouched", static_cast<long>(keys.unvouched), CFGF_NONE, ParseUnvouched),
-      CFG_INT_CB("witnesses", static_cast<long>(keys.witnesses), CFGF_NONE, ParseCount),
+      CFG_INT_CB("unvouched", static_cast<long>(keys.when_unconfirmed), CFGF_NONE, ParseUnvouched),
+      CFG_INT_CB("witnesses", static_cast<long>(keys.replicas), CFGF_NONE, ParseCount),
       CFG_INT_CB("datagrams_per_second", static_cast<long>(keys.datagrams_per_second), CFGF_NONE, ParseCount),
       CFG_INT_CB("peer_silent", keys.peer_silent.count(), CFGF_NONE, ParseSpan),
       CFG_END()};
--- a/tests/idempotency/cluster_test.cpp
+++ b/tests/idempotency/cluster_test.cpp
@@ -246,7 +246,7 @@
 TEST_CASE("full: a greedy customer leaves room to others, running and unknown keys stay, the bound holds") {
   Limits limits = FastPeers();
   limits.memory = 128 << 10;
-  limits.customer_share = 0.5;
+  limits.customer_quota = 0.5;
   Cluster cluster(1, limits, 1);
   cluster.value_size = 3'000;
   cluster.upstream_behavior = [](const KeyId&, std::int64_t) { return UpstreamBehavior{.replies = false}; };
@@ -265,10 +265,10 @@
   cluster.Run(seconds(3));
   CHECK(cluster.replica(0).peak() <= cluster.replica(0).bound());
   for (const WaiterId waiter : modest) CHECK(cluster.ReplyTo(waiter)->kind == ReplyKind::kCompleted);
-  int deferred = 0;
-  for (const WaiterId waiter : greedy) deferred += cluster.ReplyTo(waiter)->kind == ReplyKind::kRejected;
-  CHECK(deferred > 500);
-  CHECK(cluster.replica(0).counts().full_rejected == static_cast<std::uint64_t>(deferred));
+  int rejected = 0;
+  for (const WaiterId waiter : greedy) rejected += cluster.ReplyTo(waiter)->kind == ReplyKind::kRejected;
+  CHECK(rejected > 500);
+  CHECK(cluster.replica(0).counts().full_rejected == static_cast<std::uint64_t>(rejected));
   // No key with an unknown outcome was evicted: a repeat is not taken for a new request.
   cluster.Run(seconds(15));
   for (int i = 0; i < 10; ++i) {
@@ -281,7 +281,7 @@
 TEST_CASE("full with when_full = pass: a new key is started unprotected and counted") {
   Limits limits = FastPeers();
   limits.memory = 64 << 10;
-  limits.when_full = WhenFull::kPass;
+  limits.when_full = WhenFull::kStartUnprotected;
   Cluster cluster(1, limits, 1);
   for (int i = 0; i < 500; ++i) cluster.Send(0, "k" + std::to_string(i));
   cluster.Run(seconds(2));
@@ -311,14 +311,14 @@
 
 TEST_CASE(
     "no peer can confirm that a key is new: it is sent to its group or rejected, as the operator chose") {
-  for (const bool defers : {false, true}) {
+  for (const bool rejects : {false, true}) {
     Limits limits = FastPeers();
-    limits.unvouched = defers ? Unvouched::kDefer : Unvouched::kPin;
+    limits.when_unconfirmed = rejects ? WhenUnconfirmed::kReject : WhenUnconfirmed::kStartSticky;
     Cluster cluster(2, limits, 1);
     cluster.Kill(1);
     const WaiterId first = cluster.Send(0, "k");
     cluster.Run(seconds(5));
-    CHECK(cluster.ReplyTo(first)->kind == (defers ? ReplyKind::kRejected : ReplyKind::kCompleted));
+    CHECK(cluster.ReplyTo(first)->kind == (rejects ? ReplyKind::kRejected : ReplyKind::kCompleted));
     cluster.Run(seconds(60));  // now it has been up for as long as keys are kept
     const WaiterId later = cluster.Send(0, "k2");
     cluster.Run(seconds(5));
--- a/tests/idempotency/random_run_test.cpp
+++ b/tests/idempotency/random_run_test.cpp
@@ -66,7 +66,7 @@
 RunResult RandomRun(const RunOptions& options) {
   Limits limits;
   limits.datagrams_per_second = options.seed % 2 == 0 ? 2'000 : 40;
-  limits.witnesses = options.replicas;
+  limits.replicas = options.replicas;
   Cluster cluster(options.gateways, limits, options.seed, options.faults);
   cluster.honors_placement = options.honors_placement;
   cluster.upstream_behavior = [&](const KeyId&, std::int64_t) { return RandomBehavior(cluster); };
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -48,11 +48,11 @@
   CHECK(limits.enabled);
   CHECK(limits.memory == std::size_t{512} * 1024);
   CHECK(limits.keep == std::chrono::minutes(2));
-  CHECK(limits.customer_share == 0.5);
+  CHECK(limits.customer_quota == 0.5);
   CHECK(limits.max_waiters == 3);
-  CHECK(limits.when_full == idempotency::WhenFull::kPass);
-  CHECK(limits.unvouched == idempotency::Unvouched::kDefer);
-  CHECK(limits.witnesses == 3);
+  CHECK(limits.when_full == idempotency::WhenFull::kStartUnprotected);
+  CHECK(limits.when_unconfirmed == idempotency::WhenUnconfirmed::kReject);
+  CHECK(limits.replicas == 3);
   CHECK(limits.datagrams_per_second == 2'000);
   CHECK(limits.peer_silent == std::chrono::seconds(1));
 }
