--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// A client that has gone, in each state in which its connection may not be read from: what it asked for and
-// no upstream has yet is dropped.
+// A client that disconnects, in each state in which its connection may not be read from: its requests that no
+// upstream has received yet are released.
 #include <chrono>
 
 #include "partners/slow_port.h"
@@ -9,7 +9,7 @@
 
 using namespace site;
 
-constexpr int kMostOwed = 128;  // answers owed on one connection before no more commands are taken from it
+constexpr int kMaxPending = 128;  // requests of one connection; no more commands are read meanwhile
 
 std::string Many(int count) {
   std::string out;
@@ -17,9 +17,9 @@
   return out;
 }
 
-// A site whose only upstream is still being dialled, so that all that is asked waits for its first byte.
-struct Waiting {
-  explicit Waiting(const json& changes = json::object()) : site(0, Merged(changes)) {
+// A site whose only upstream is still being connected, so that every request waits for its first byte.
+struct ConnectingSite {
+  explicit ConnectingSite(const json& changes = json::object()) : site(0, Merged(changes)) {
     site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
   }
   static json Merged(const json& changes) {
@@ -27,13 +27,13 @@
     out.merge_patch(changes);
     return out;
   }
-  // The client has just gone. That is noticed soon, and nothing that was asked before is sent: the next
+  // The client has just disconnected. That is noticed soon, and none of its requests is sent: the next
   // request is the first that the upstream sees.
   void CheckNothingSent() {
-    const auto gone = std::chrono::steady_clock::now();
+    const auto disconnected = std::chrono::steady_clock::now();
     slow.Left();
-    CHECK(std::chrono::steady_clock::now() - gone <
-          std::chrono::seconds(1));  // 0.1 s, on a machine that is busy
+    CHECK(std::chrono::steady_clock::now() - disconnected <
+          std::chrono::seconds(1));  // 0.1 s on an idle machine
     slow.Open();
     Peer other = site.Client();
     other.Send(Read("last"));
@@ -43,70 +43,74 @@
   SlowPort slow;
 };
 
-TEST_CASE("the close of a client that is owed as many answers as it may be is noticed") {
-  enum How { kClose, kReset, kHalfClose };
-  const How how = GENERATE(kClose, kReset, kHalfClose);
-  Waiting w;
-  Peer client = w.site.Client();
-  client.Send(Many(kMostOwed + 20));
-  w.slow.Dialled(kMostOwed);
-  if (how == kClose) client.Close();
-  if (how == kReset) client.Reset();
-  if (how == kHalfClose) client.HalfClose();
-  w.CheckNothingSent();
+TEST_CASE("the disconnect of a client with the most pending requests is noticed") {
+  enum class Disconnect { kClose, kReset, kHalfClose };
+  const Disconnect disconnect = GENERATE(Disconnect::kClose, Disconnect::kReset, Disconnect::kHalfClose);
+  ConnectingSite fixture;
+  Peer client = fixture.site.Client();
+  client.Send(Many(kMaxPending + 20));
+  fixture.slow.Dialled(kMaxPending);
+  if (disconnect == Disconnect::kClose) client.Close();
+  if (disconnect == Disconnect::kReset) client.Reset();
+  if (disconnect == Disconnect::kHalfClose) client.HalfClose();
+  fixture.CheckNothingSent();
 }
 
-TEST_CASE("a close behind more than is read ahead is noticed") {
-  Waiting w;
-  Peer client = w.site.Client();
-  client.Send(Many(kMostOwed));
-  w.slow.Dialled(kMostOwed);
+TEST_CASE("a disconnect behind more bytes than are read ahead is noticed") {
+  ConnectingSite fixture;
+  Peer client = fixture.site.Client();
+  client.Send(Many(kMaxPending));
+  fixture.slow.Dialled(kMaxPending);
   std::string more;
   while (more.size() < 160'000) more += Command({"PING"});
   for (std::size_t at = 0; at < more.size(); usleep(500)) {
     at += client.SendSome(std::string_view(more).substr(at));
   }
   client.Close();
-  w.CheckNothingSent();
+  fixture.CheckNothingSent();
 }
 
-TEST_CASE("of several such clients all that go between two looks are noticed, and the others stay") {
-  Waiting w;
+TEST_CASE("of several such clients all that disconnect between two checks are noticed, and the others stay") {
+  ConnectingSite fixture;
   std::string more;
   while (more.size() < 100'000) more += Command({"PING"});
   std::vector<Peer> clients;
   for (int c = 0; c < 4; ++c) {
-    clients.push_back(w.site.Client());
-    std::string all;
-    for (int i = 0; i < 128; ++i) all += Read("r" + std::to_string(c) + "-" + std::to_string(i));
-    all += more;
-    for (std::size_t at = 0; at < all.size(); usleep(200)) {
-      at += clients.back().SendSome(std::string_view(all).substr(at));
+    clients.push_back(fixture.site.Client());
+    std::string commands;
+    for (int i = 0; i < 128; ++i) commands += Read("r" + std::to_string(c) + "-" + std::to_string(i));
+    commands += more;
+    for (std::size_t at = 0; at < commands.size(); usleep(200)) {
+      at += clients.back().SendSome(std::string_view(commands).substr(at));
     }
   }
-  w.site.Ping();
-  w.site.Pause();
-  for (const int gone : {0, 1, 3}) clients[static_cast<std::size_t>(gone)].Close();
-  w.site.Resume();
+  fixture.site.Ping();
+  fixture.site.Pause();
+  for (const std::size_t index : {0, 1, 3}) clients[index].Close();
+  fixture.site.Resume();
   clients[2].Close();
-  w.CheckNothingSent();
+  fixture.CheckNothingSent();
 }
 
-TEST_CASE("a close is noticed while a large body waits for room, and behind a broken command") {
-  const bool body = GENERATE(true, false);
-  Waiting w(json{{"limits", {{"memory_mb", 32}}}});
+TEST_CASE("a disconnect is noticed while a large body waits for memory, and behind a malformed command") {
+  const bool has_body = GENERATE(true, false);
+  ConnectingSite fixture(json{{"limits", {{"memory_mb", 32}}}});
   const std::string head = "*5\r\n$9\r\nAPI.WRITE\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$4000000\r\n";
-  std::vector<Peer> full;
-  for (int i = 0; i < 2; ++i) full.push_back(w.site.Client()), full.back().Send(head + "xx");
-  w.site.Ping();
-  Peer client = w.site.Client();
-  client.Send(Read("one") + (body ? head + std::string(200, 'x') : "*1\r\n:nonsense\r\n"));
-  w.slow.Dialled(1);
+  std::vector<Peer> others;  // which take all of the memory
+  for (int i = 0; i < 2; ++i) {
+    others.push_back(fixture.site.Client());
+    others.back().Send(head + "xx");
+  }
+  fixture.site.Ping();
+  Peer client = fixture.site.Client();
+  client.Send(Read("one") + (has_body ? head + std::string(200, 'x') : "*1\r\n:nonsense\r\n"));
+  fixture.slow.Dialled(1);
   client.Close();
-  w.CheckNothingSent();
+  fixture.CheckNothingSent();
 }
 
-TEST_CASE("what waits for the counter's answer is dropped with its client, and its units come back once") {
+TEST_CASE(
+    "a request that waits for the counter is released with its client, and its units are refunded once") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -114,29 +118,28 @@
   const auto call = site.calls().Command();
   CHECK(call.at(2) == "1");
   client.Close();
-  CHECK(site.Ping() == "+PONG\r\n");  // answered behind the close
+  CHECK(site.Ping() == "+PONG\r\n");  // its reply comes after the disconnect
   site.calls().Send("$1\r\n1\r\n");
   Peer other = site.Client();
   other.Send(Read("two"));
-  CHECK(site.Grant() == 0);  // its own unit, less the one that was not used
+  CHECK(site.Grant() == 0);  // its own unit, less the refunded one
   CHECK(site.upstream(0).Accept().Command().at(2) == "two");
   other.Send(Read("three"));
   CHECK(site.Grant() == 1);
 }
 
-TEST_CASE("an id is free again once its client has gone") {
-  Waiting w;
+TEST_CASE("an id can be reused once its client has disconnected") {
+  ConnectingSite fixture;
   for (int i = 0; i < 3; ++i) {
-    Peer client = w.site.Client();
+    Peer client = fixture.site.Client();
     client.Send(Read("one"));
-    w.slow.Dialled(1);
+    fixture.slow.Dialled(1);
     client.Close();
-    w.slow.Left();
+    fixture.slow.Left();
   }
 }
 
-// The fourth of the letter's terms.
-TEST_CASE("with the descriptors full of idle clients while discovery is down, all partners are found again") {
+TEST_CASE("with all descriptors held by idle clients while discovery is down, every peer is reconnected") {
   constexpr int kDescriptors = 64;
   json changes = NoQuota();
   changes["limits"] = {{"sockets", kDescriptors}};
@@ -153,10 +156,10 @@
   CHECK(site.Ping() == "+PONG\r\n");
   site.calls().Reset();
   Peer counter = site.counter().Accept();
-  // Discovery is back: whichever call is out then is answered.
+  // Discovery is back: it answers whichever poll is in flight then.
   for (;;) {
     Peer watch = site.discovery().Accept();
-    if (watch.Some(4096).empty()) continue;  // given up meanwhile
+    if (watch.Some(4096).empty()) continue;  // timed out meanwhile
     Site::Tell(watch, Site::List(true, site.Entries(0, 1, "Ready")));
     if (watch.Until("\r\n\r\n").find("GET /api/targets?since=41&timeout_ms=2000 ") == 0) break;
   }
--- a/tests/net/startup_test.cpp
+++ b/tests/net/startup_test.cpp
@@ -1,4 +1,4 @@
-// A restarted process is ready within 10 s whatever is away, and never says so before it can serve.
+// A restarted process is ready within 10 s whatever it can't reach, and never before it can serve.
 #include <chrono>
 
 #include "partners/site.h"
@@ -11,36 +11,36 @@
 
 constexpr std::chrono::seconds kReadyWithin{10};
 
-enum class Discovery { kSilent, kRefuses, kGone };
+enum class Discovery { kSilent, kRefuses, kUnreachable };
 
 TEST_CASE(
-    "with an old list in hand it is ready in time, be discovery down, refusing or gone, and the counter "
-    "away") {
-  const Discovery how = GENERATE(Discovery::kSilent, Discovery::kRefuses, Discovery::kGone);
-  Port node;
+    "with a persisted list it is ready in time while discovery is silent, refusing or unreachable and the "
+    "counter is away") {
+  const Discovery discovery = GENERATE(Discovery::kSilent, Discovery::kRefuses, Discovery::kUnreachable);
+  Port upstream_port;
   json changes = NoQuota();
-  changes["known"] = Site::List(true, {{{"name", "s-0"}, {"address", node.address()}, {"status", "Ready"}}});
+  changes["known"] =
+      Site::List(true, {{{"name", "s-0"}, {"address", upstream_port.address()}, {"status", "Ready"}}});
   Site site(0, changes);
   const auto started = steady_clock::now();
   site.counter().Close();
-  if (how == Discovery::kGone) site.discovery().Close();
-  if (how == Discovery::kRefuses) {
+  if (discovery == Discovery::kUnreachable) site.discovery().Close();
+  if (discovery == Discovery::kRefuses) {
     Peer watch = site.discovery().Accept();
     watch.Until("\r\n\r\n");
     watch.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   }
   site.WaitUntilReady();
   CHECK(steady_clock::now() - started < kReadyWithin);
-  Peer client = site.Client();  // ready is true: it serves
+  Peer client = site.Client();  // being ready, it serves
   client.Send(Read("one"));
-  Peer upstream = node.Accept();
+  Peer upstream = upstream_port.Accept();
   CHECK(upstream.Command().at(2) == "one");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE(
-    "with no list in hand and discovery refusing it is not ready, and is as soon as the list has come") {
+TEST_CASE("without a list it is not ready while discovery refuses, and is as soon as a list has arrived") {
   Site site(1, {{"settings", {{"GroupSize", 300}}}});
   Peer first = site.discovery().Accept();
   CHECK(first.Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
@@ -53,8 +53,7 @@
   second.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   Peer third = site.discovery().Accept();
   third.Until("\r\n\r\n");
-  CHECK(site.Ping() ==
-        "-LOADING not serving\r\n");  // its second has passed by now, and it has nothing to serve by
+  CHECK(site.Ping() == "-LOADING not serving\r\n");  // a second has passed, and it still has no upstreams
   Site::Tell(third, Site::List(true, site.Entries(0, 1, "Ready")));
   third.Until("\r\n\r\n");
   CHECK(site.Ping() == "+PONG\r\n");
--- a/tests/net/upstream/upstream_pool_test.cpp
+++ b/tests/net/upstream/upstream_pool_test.cpp
@@ -1,5 +1,6 @@
-// What was allowed when an attempt was decided and no longer is when its first byte would leave: the dial
-// takes a second, and something happens meanwhile.
+// Attempts at upstreams: what was allowed when an attempt was decided and is not any more when its first byte
+// would be sent (connecting takes a second, and something happens meanwhile), and responses that can't be
+// used.
 #include "partners/slow_port.h"
 
 namespace postspread {
@@ -12,10 +13,10 @@
                   "c=change,t=team,d=60000,k=00000000000000aa,units=1,spread=2,first=0", "x"});
 }
 
-// A site whose one class is keyed over all upstreams, for so many microseconds, beside a second, slow next
-// hop.
-struct Late {
-  explicit Late(std::int64_t window)
+// A site with a class whose keys hold over all upstreams for a window of microseconds, and a second upstream
+// that takes a second to connect to.
+struct SlowSecondUpstream {
+  explicit SlowSecondUpstream(std::int64_t window_us)
       : site(1, {{"settings",
                   {{"Classes",
                     {{{"Name", "lookup"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "safe"}},
@@ -24,11 +25,11 @@
                       {"HardLimit", 60'000'000},
                       {"Effect", "keyed"},
                       {"DedupScope", "all"},
-                      {"KeyTtl", window}}}}}}}) {
+                      {"KeyTtl", window_us}}}}}}}) {
     site.Start(1);
   }
   // The list gets the slow upstream in the place of the first, which ends nothing that is under way there.
-  void TurnToSlow() {
+  void ReplaceBySlow() {
     json entries = site.Entries(0, 1, "Terminating");
     entries.push_back({{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}});
     site.Tell(Site::List(false, entries));
@@ -38,34 +39,34 @@
   SlowPort slow;
 };
 
-TEST_CASE("a repeat whose dial outlasts the window of its key is not sent") {
-  // Over when the dial comes up, a second on; over by the time that the way there may take as long; and open,
-  // where it is sent: the look can tell.
-  const std::int64_t window = GENERATE(700'000, 1'600'000, 30'000'000);
-  const bool lasts = window == 30'000'000;
-  Late late(window);
-  Peer client = late.site.Client();
+TEST_CASE("a retry whose connect outlasts its key's window is not sent") {
+  // Over when the connection comes up, a second later; over once the first byte's delay is added; and open,
+  // so that the retry is sent.
+  const std::int64_t window_us = GENERATE(700'000, 1'600'000, 30'000'000);
+  const bool is_open = window_us == 30'000'000;
+  SlowSecondUpstream fixture(window_us);
+  Peer client = fixture.site.Client();
   client.Send(Write("one"));
-  late.site.Grant();
-  Peer upstream = late.site.upstream(0).Accept();
-  CHECK(upstream.Command().at(0) == "API.WRITE");  // has come whole: it may have run
-  late.TurnToSlow();
+  fixture.site.Grant();
+  Peer upstream = fixture.site.upstream(0).Accept();
+  CHECK(upstream.Command().at(0) == "API.WRITE");  // received in full: it may have run
+  fixture.ReplaceBySlow();
   upstream.Reset();
-  late.slow.Dialled();
-  late.slow.Open();
-  Peer second = late.slow.port().Accept();
-  if (lasts) {
+  fixture.slow.Dialled();
+  fixture.slow.Open();
+  Peer second = fixture.slow.port().Accept();
+  if (is_open) {
     CHECK(second.Command().at(2) == "one");
     second.Send(kValue);
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   } else {
     CHECK(second.Ended());
-    // Within its window it might have been repeated anywhere: refused, not failed.
+    // Within its window it could have been retried anywhere: rejected, not failed.
     CHECK(client.Line().substr(0, 5) == "-BUSY");
   }
 }
 
-TEST_CASE("what waited for a dial tells the time that is left when it is sent, not when it was decided") {
+TEST_CASE("a request that waited for a connection carries the time left when it is sent") {
   Site site(0, NoQuota());
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -77,14 +78,14 @@
   const std::string extras = upstream.Command().at(3);
   const std::size_t at = extras.find(",d=");
   REQUIRE(at != std::string::npos);
-  // The dial takes a second, of the 60 that the client waits.
+  // Connecting takes a second, of the 60 that the client waits.
   CHECK(std::stoi(extras.substr(at + 3)) <= 59'150);
 }
 
 TEST_CASE(
-    "what waits for a dial is not sent once its client has gone, whether or not attempts may be cancelled") {
-  const bool cancels = GENERATE(true, false);
-  Site site(0, {{"settings", {{"Limits", {{"Cancelling", cancels}}}}}});
+    "a request that waits for a connection is not sent once its client has disconnected, cancelled or not") {
+  const bool can_cancel = GENERATE(true, false);
+  Site site(0, {{"settings", {{"Limits", {{"Cancelling", can_cancel}}}}}});
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
   Peer client = site.Client();
@@ -97,10 +98,10 @@
   slow.Open();
   other.Send(Read("two"));
   site.Grant();
-  // The first request's dial, where it goes on, comes up as well, and ends with nothing sent.
+  // The first request's connection, where it goes on, comes up as well, and ends with nothing sent.
   std::string sent;
-  std::vector<Peer> upstreams;  // kept: a request on one that closed would be sent again
-  while (upstreams.size() < (cancels ? 1 : 2)) {
+  std::vector<Peer> upstreams;  // not closed: a request on a closed one would be retried
+  while (upstreams.size() < (can_cancel ? 1 : 2)) {
     upstreams.push_back(slow.port().Accept());
     sent += upstreams.back().Some(4096);
   }
@@ -108,7 +109,7 @@
   CHECK(sent.find("two") != std::string::npos);
 }
 
-TEST_CASE("what waits for a dial is not sent to a next hop that has been said to drain") {
+TEST_CASE("a request that waits for a connection is not sent to an upstream that drains meanwhile") {
   Site site(0);
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -122,8 +123,8 @@
   CHECK(other.Accept().Command().at(2) == "one");
 }
 
-TEST_CASE("a name that comes back elsewhere, or anew, gets nothing over a connection to what it was") {
-  const bool moved = GENERATE(true, false);
+TEST_CASE("an upstream that has moved or restarted gets nothing over a connection to its former process") {
+  const bool has_moved = GENERATE(true, false);
   Site site(1, NoQuota());
   site.Start(1);
   Peer client = site.Client();
@@ -131,23 +132,23 @@
   Peer old = site.upstream(0).Accept();
   old.Command();
   Port other;
-  const Port& place = moved ? other : site.upstream(0);
+  const Port& listed = has_moved ? other : site.upstream(0);
   site.Tell(Site::List(false, {{{"name", "s-0"},
-                                {"address", place.address()},
-                                {"since_ms", moved ? 0 : 1'700'000'000'000},
+                                {"address", listed.address()},
+                                {"since_ms", has_moved ? 0 : 1'700'000'000'000},
                                 {"status", "Ready"}}}));
   site.watch().Until("\r\n\r\n");  // the next call: the list is in force
   old.Send(kValue);
-  CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");  // what was under way ends as it would
+  CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");  // what was in flight ends as usual
   client.Send(Read("two"));
-  Peer now = (moved ? other : site.upstream(0)).Accept();
-  CHECK(now.Command().at(2) == "two");
+  Peer current = (has_moved ? other : site.upstream(0)).Accept();
+  CHECK(current.Command().at(2) == "two");
   CHECK(old.Ended());
 }
 
-TEST_CASE("what waits for a dial to a place that its next hop has left goes to the new place") {
+TEST_CASE("a request that waits for a connection goes to the new address of an upstream that moves") {
   json changes = NoQuota();
-  // No second copy of it goes anywhere: what is sent is the one that waited.
+  // Not hedged: what is sent is the request that waited.
   changes["settings"]["Classes"] = {
       {{"Name", "change"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "unsafe"}}};
   Site site(0, changes);
@@ -164,22 +165,23 @@
 }
 
 TEST_CASE(
-    "where next hops are seen to answer twice, a second answer that is late is never the next request's") {
-  const bool behind = GENERATE(true, false);  // the first second answer: with its answer, or on its own
+    "where upstreams send duplicates, a late duplicate is never taken for the next request's response") {
+  const bool is_together = GENERATE(true, false);  // the first duplicate: with its response, or after it
   Site site(1, NoQuota());
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("zero"));
   Peer first = site.upstream(0).Accept();
   first.Command();
-  first.Send(behind ? std::string(kValue) + kValue : std::string(kValue));
+  first.Send(is_together ? std::string(kValue) + kValue : std::string(kValue));
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  if (!behind) first.Send(kValue);
+  if (!is_together) first.Send(kValue);
   CHECK(first.Ended());
   client.Send(Read("one"));
   Peer upstream = site.upstream(0).Accept();
   upstream.Command();
-  // The answer and the next request meet: that one is read as soon as the connection is free.
+  // The response and the next request are there at once: the request is read as soon as the connection is
+  // idle.
   site.Pause();
   upstream.Send(kValue);
   client.Send(Read("two"));
@@ -193,9 +195,9 @@
   CHECK(client.Until("no\r\n") == "$2\r\nno\r\n");
 }
 
-// Two upstreams and a class that must not run twice.
-struct Once {
-  explicit Once(json changes = json::object()) : site(2, Merged(std::move(changes))) {}
+// Two upstreams and a class that is not idempotent.
+struct NonIdempotentSite {
+  explicit NonIdempotentSite(json changes = json::object()) : site(2, Merged(std::move(changes))) {}
   static json Merged(const json& changes) {
     json out = NoQuota();
     out["settings"]["Classes"] = {
@@ -203,73 +205,74 @@
     out.merge_patch(changes);
     return out;
   }
-  static std::string Ask() {
+  static std::string Write() {
     return Command(
         {"API.WRITE", "0000000000000001", "one", "c=change,t=team,d=60000,units=1,spread=2,first=0", "x"});
   }
   Site site;
 };
 
-TEST_CASE("what may have run once is never sent again: half a refusal, or a reset behind the last byte") {
-  const bool half = GENERATE(true, false);
-  Once once;
-  once.site.Start(2);
-  Peer client = once.site.Client();
-  client.Send(Once::Ask());
-  const int picked = once.site.Dialled();
-  Peer upstream = once.site.upstream(picked).Accept();
-  if (half) {
+TEST_CASE("a non-idempotent request that may have run is not retried: half a rejection, or a late reset") {
+  const bool is_half_rejected = GENERATE(true, false);
+  NonIdempotentSite fixture;
+  fixture.site.Start(2);
+  Peer client = fixture.site.Client();
+  client.Send(NonIdempotentSite::Write());
+  const int selected = fixture.site.Dialled();
+  Peer upstream = fixture.site.upstream(selected).Accept();
+  if (is_half_rejected) {
     upstream.Command();
     upstream.Send("-BUS");
   } else {
-    CHECK(upstream.HasMore(kTimeoutMs));  // all of it is in the machine's hands, and read by nobody
+    CHECK(upstream.HasMore(kTimeoutMs));  // all of it is in the kernel's buffer, and read by nobody
   }
   upstream.Reset();
   CHECK(client.Line() == "-ERR failed\r\n");
-  CHECK_FALSE(once.site.upstream(0).Asked());
-  CHECK_FALSE(once.site.upstream(1).Asked());
+  CHECK_FALSE(fixture.site.upstream(0).Asked());
+  CHECK_FALSE(fixture.site.upstream(1).Asked());
 }
 
-TEST_CASE("a dial that comes up in the turn in which its time is over is one attempt, here or elsewhere") {
-  Once once(json{{"settings", {{"Limits", {{"DialTimeout", 500'000}}}}}});
+TEST_CASE("a connection that comes up as its connect timeout expires is one attempt, here or elsewhere") {
+  NonIdempotentSite fixture(json{{"settings", {{"Limits", {{"DialTimeout", 500'000}}}}}});
   SlowPort slow;
-  once.site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
-  Peer client = once.site.Client();
-  client.Send(Once::Ask());
+  fixture.site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
+  Peer client = fixture.site.Client();
+  client.Send(NonIdempotentSite::Write());
   slow.Dialled();
-  once.site.Tell(Site::List(false, once.site.Entries(0, 1, "Ready")));
-  once.site.watch().Until("\r\n\r\n");
-  once.site.Pause();
+  fixture.site.Tell(Site::List(false, fixture.site.Entries(0, 1, "Ready")));
+  fixture.site.watch().Until("\r\n\r\n");
+  fixture.site.Pause();
   slow.Open();
-  Peer late = slow.port().Accept();  // a second after the dial: its time and its success wait together
-  once.site.Resume();
+  Peer late = slow.port().Accept();  // a second later: timeout and success are due together
+  fixture.site.Resume();
   if (late.Some(4096).empty()) {
-    Peer upstream = once.site.upstream(0).Accept();
+    Peer upstream = fixture.site.upstream(0).Accept();
     CHECK(upstream.Command().at(2) == "one");
     upstream.Send(kValue);
   } else {
     late.Send(kValue);
-    CHECK_FALSE(once.site.upstream(0).Asked());
+    CHECK_FALSE(fixture.site.upstream(0).Asked());
   }
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("a list that ends several attempts of one next hop, and moves another, ends each of them once") {
+TEST_CASE("an endpoint list that ends several attempts of one upstream, and moves another, ends each once") {
   Site site(0, NoQuota());
-  SlowPort drains, moves;
-  const auto listed = [&](const char* status, const std::string& place) {
+  SlowPort drains;
+  SlowPort moves;
+  const auto endpoints = [&](const char* status, const std::string& address) {
     return json{{{"name", "s-drains"}, {"address", drains.address()}, {"status", status}},
-                {{"name", "s-moves"}, {"address", place}, {"status", "Ready"}}};
+                {{"name", "s-moves"}, {"address", address}, {"status", "Ready"}}};
   };
-  site.Start(0, listed("Ready", moves.address()));
+  site.Start(0, endpoints("Ready", moves.address()));
   Peer client = site.Client();
-  std::string all;
-  for (int i = 0; i < 24; ++i) all += Read("r" + std::to_string(i));
-  client.Send(all);
+  std::string requests;
+  for (int i = 0; i < 24; ++i) requests += Read("r" + std::to_string(i));
+  client.Send(requests);
   drains.Dialled(2);
   moves.Dialled(2);
   Port other;
-  site.Tell(Site::List(false, listed("Gone", other.address())));
+  site.Tell(Site::List(false, endpoints("Gone", other.address())));
   std::vector<Peer> upstreams;
   for (int i = 0; i < 24; ++i) {
     upstreams.push_back(other.Accept());
--- /dev/null
+++ b/tests/planner/subsystems_test.cpp
@@ -0,0 +1,200 @@
+// The subsystems behind the facade: the usage broadcast, membership with idempotency, subsetting.
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <functional>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "planner/planner.h"
+#include "planner_fixture.h"
+
+namespace postspread::planner {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// Five requests a second of one customer. The counter rejects its calls, or where `total` is above 0 replies
+// with it from the second request on. Returns how many attempts were started.
+int CountAdmitted(Planner& planner, Clock::time_point now, int requests, double total) {
+  int admitted = 0;
+  for (int i = 0; i < requests; ++i, now += milliseconds(200)) {
+    const Planner::PickResult picked = planner.Pick({.class_name = "lookup",
+                                                     .plan = "team",
+                                                     .customer = "f",
+                                                     .timeout = seconds(2),
+                                                     .units = 1,
+                                                     .spread = 100},
+                                                    now);
+    std::vector<Action> actions(picked.actions.begin(), picked.actions.end());
+    for (std::size_t next = 0; next < actions.size(); ++next) {
+      Actions more;
+      if (std::holds_alternative<StartAttempt>(actions[next])) {
+        ++admitted;
+        more = planner.Report(AttemptReport{.request = picked.number, .upstream = "a"}, now);
+      } else if (const auto* call = std::get_if<CallCounter>(&actions[next])) {
+        const CounterResult result = total > 0 && i > 0 ? CounterResult::kAdded : CounterResult::kRejected;
+        more = planner.Report(CounterReport{call->name, result, total}, now);
+      }
+      const std::vector<Action> copied(more.begin(), more.end());
+      actions.insert(actions.end(), copied.begin(), copied.end());
+    }
+  }
+  return admitted;
+}
+
+TEST_CASE("where the counter is overloaded, the usage that one gateway observed guides the others") {
+  Settings settings = TestSettings(Counter::kPresent);
+  settings.group_size = 100;
+  settings.can_message_peers = true;
+  settings.peer_messages_per_second = 40;
+  Clock::time_point now{seconds(50)};
+  EndpointListReport endpoint_list;
+  endpoint_list.upstreams = {TestUpstream("a")};
+  const PlannerOptions options{.idempotency = {}, .usage = {.broadcast = true}, .has_peers = true};
+  Planner sender(settings, 1, seconds(1'000'000), now, options);
+  Planner informed(settings, 2, seconds(1'000'000), now, options);
+  Planner uninformed(settings, 2, seconds(1'000'000), now, options);
+  for (Planner* each : {&sender, &informed, &uninformed}) each->Report(endpoint_list, now);
+  CountAdmitted(sender, now, 10, 200);  // some twenty times its rate
+  now += seconds(2);
+  std::string bytes;
+  while (bytes.empty() && sender.NextTick() && now < Clock::time_point(seconds(60))) {
+    now = std::max(now, *sender.NextTick());
+    for (const Action& action : sender.Tick(now)) {
+      if (const auto* datagram = std::get_if<SendDatagram>(&action)) bytes = datagram->bytes;
+    }
+  }
+  REQUIRE(bytes.size() == 9);
+  informed.Report(PeerReport{0, bytes}, now);
+  CHECK(CountAdmitted(uninformed, now, 50, 0) > 20);
+  CHECK(CountAdmitted(informed, now, 50, 0) < 10);
+}
+
+// Two gateways with idempotency and membership, whose membership datagrams reach each other.
+class TwoGateways {
+ public:
+  TwoGateways() {
+    settings_.classes[0].retry_safety = RetrySafety::kIdempotencyKey;
+    settings_.classes[0].scope = KeyScope::kCell;
+    settings_.classes[0].key_ttl = seconds(15);
+    settings_.can_message_peers = true;
+    settings_.group_size = 2;
+    Start(0, seconds(1'000'000));
+    Start(1, seconds(1'000'000));
+    EndpointListReport endpoint_list;
+    endpoint_list.upstreams = {TestUpstream("a")};
+    planners_[0]->Report(endpoint_list, now_);
+  }
+
+  void Start(int rank, seconds wall) {
+    PlannerOptions options;
+    options.idempotency.enabled = true;
+    options.membership.enabled = true;
+    options.has_peers = true;
+    options.name = "gk-" + std::to_string(rank);
+    options.peer = static_cast<membership::PeerId>(rank);
+    options.seeds = {0, 1};
+    Settings own = settings_;
+    own.rank = rank;
+    planners_[rank] = std::make_unique<Planner>(own, 1, wall, now_, options);
+  }
+
+  void Leave(int rank) { Exchange(rank, planners_[rank]->Leave(now_)); }
+
+  void RunThreeSeconds() {
+    for (int i = 0; i < 30; ++i, now_ += milliseconds(100)) {
+      for (const int rank : {0, 1}) Exchange(rank, planners_[rank]->Tick(now_));
+    }
+  }
+
+  // Whether the first gateway starts work under a new key at once, with no replica to ask.
+  bool StartsAlone(const char* key) {
+    const Planner::PickResult picked = planners_[0]->Pick({.class_name = "lookup",
+                                                           .plan = "team",
+                                                           .customer = "0000000000000001",
+                                                           .timeout = seconds(2),
+                                                           .units = 1,
+                                                           .spread = 2,
+                                                           .is_write = true,
+                                                           .key = key},
+                                                          now_);
+    return std::any_of(picked.actions.begin(), picked.actions.end(),
+                       [](const Action& action) { return std::holds_alternative<StartAttempt>(action); });
+  }
+
+ private:
+  // Passes one's membership datagrams to the other, and the replies back.
+  void Exchange(int from, Actions actions) {
+    for (const Action& action : std::vector<Action>(actions.begin(), actions.end())) {
+      const auto* datagram = std::get_if<SendMembershipDatagram>(&action);
+      if (datagram == nullptr || datagram->peer == static_cast<std::uint64_t>(from)) continue;
+      Exchange(1 - from, planners_[1 - from]->Report(PeerReport{from, datagram->bytes}, now_));
+    }
+  }
+
+  Settings settings_ = TestSettings();
+  Clock::time_point now_{seconds(50)};
+  std::unique_ptr<Planner> planners_[2];
+};
+
+TEST_CASE("a gateway that leaves is no replica of new keys, and is one again when it has rejoined") {
+  TwoGateways gateways;
+  gateways.RunThreeSeconds();
+  CHECK_FALSE(gateways.StartsAlone("k1"));
+  gateways.Leave(1);
+  CHECK(gateways.StartsAlone("k2"));
+  gateways.Start(1, seconds(1'000'100));
+  gateways.RunThreeSeconds();
+  CHECK_FALSE(gateways.StartsAlone("k3"));
+}
+
+// The upstreams that 60 concurrent requests go to. Ends these, and some seconds later returns.
+std::set<std::string> UsedUpstreams(Planner& planner, Clock::time_point& now) {
+  std::set<std::string> used;
+  std::vector<AttemptReport> reports;
+  for (int i = 0; i < 60; ++i) {
+    const std::string customer = std::to_string(i);
+    const Planner::PickResult picked = planner.Pick(Lookup(customer), now);
+    for (const Action& action : picked.actions) {
+      const auto* attempt = std::get_if<StartAttempt>(&action);
+      if (attempt == nullptr) continue;
+      used.insert(attempt->upstream);
+      reports.push_back(
+          {.request = picked.number, .upstream = attempt->upstream, .elapsed = milliseconds(5)});
+    }
+  }
+  now += milliseconds(5);
+  for (const AttemptReport& report : reports) planner.Report(report, now);
+  now += seconds(2);
+  return used;
+}
+
+TEST_CASE("a gateway of many uses its subset of the upstreams, and one that drains is replaced at once") {
+  Settings settings = TestSettings();
+  settings.group_size = 100;
+  PlannerOptions options;
+  options.subsetting.subsets = true;
+  Clock::time_point now{seconds(50)};
+  Planner planner(settings, 1, seconds(1'000'000), now, options);
+  EndpointListReport endpoint_list;
+  for (int i = 0; i < 60; ++i) endpoint_list.upstreams.push_back(TestUpstream("s-" + std::to_string(i)));
+  planner.Report(endpoint_list, now);
+  const std::set<std::string> before = UsedUpstreams(planner, now);
+  CHECK(before.size() >= 4);
+  CHECK(before.size() <= 8);
+  // All of these drain, by a list of changes: others are used from the next request on.
+  EndpointListReport changes{.kind = EndpointUpdateKind::kChanges, .index = 1, .upstreams = {}};
+  for (const std::string& name : before) {
+    changes.upstreams.push_back(TestUpstream(name, UpstreamState::kDraining));
+  }
+  planner.Report(changes, now);
+  const std::set<std::string> after = UsedUpstreams(planner, now);
+  CHECK(after.size() >= 4);
+  for (const std::string& name : after) CHECK_FALSE(before.contains(name));
+}
+
+}  // namespace
+}  // namespace postspread::planner
--- /dev/null
+++ b/tests/planner/timer_queue_test.cpp
@@ -0,0 +1,38 @@
+// One-shot timers by due time.
+#include "planner/timer_queue.h"
+
+#include <catch2/catch.hpp>
+#include <optional>
+
+namespace postspread::planner {
+namespace {
+
+using std::chrono::microseconds;
+
+TEST_CASE("timers fire by due time, and in the order of their setting where they are due together") {
+  TimerQueue timers;
+  CHECK_FALSE(timers.NextDue());
+  timers.Set(microseconds(20), 1);
+  timers.Set(microseconds(10), 2);
+  timers.Set(microseconds(20), 3);
+  CHECK(timers.NextDue() == microseconds(10));
+  const TimerQueue::Sequence end = timers.next_sequence();
+  CHECK_FALSE(timers.PopDue(microseconds(9), end));
+  CHECK(timers.PopDue(microseconds(30), end) == 2U);
+  CHECK(timers.PopDue(microseconds(30), end) == 1U);
+  CHECK(timers.PopDue(microseconds(30), end) == 3U);
+  CHECK_FALSE(timers.PopDue(microseconds(30), end));
+}
+
+TEST_CASE("a timer set after the given position stays, however soon it is due") {
+  TimerQueue timers;
+  timers.Set(microseconds(10), 1);
+  const TimerQueue::Sequence end = timers.next_sequence();
+  CHECK(timers.PopDue(microseconds(30), end) == 1U);
+  timers.Set(microseconds(0), 2);
+  CHECK_FALSE(timers.PopDue(microseconds(30), end));
+  CHECK(timers.PopDue(microseconds(30), timers.next_sequence()) == 2U);
+}
+
+}  // namespace
+}  // namespace postspread::planner
