--- a/src/planner/event_translation.cpp
+++ b/src/planner/event_translation.cpp
@@ -8,6 +8,9 @@
 namespace postspread::planner {
 namespace {
 
+// Of a client's timeout: the request's way in and the response's way back, also between zones.
+constexpr std::chrono::milliseconds kNetworkMargin{10};
+
 Outcome ToOutcome(AttemptResult result) {
   switch (result) {
     case AttemptResult::kSucceeded:
--- a/src/planner/event_translation.h
+++ b/src/planner/event_translation.h
@@ -1,4 +1,4 @@
-// Translates between the planner's values and the controller's: reports into events. Pure functions.
+// Translates the planner's requests and reports into the controller's events. Pure functions.
 #ifndef POSTSPREAD_PLANNER_EVENT_TRANSLATION_H_
 #define POSTSPREAD_PLANNER_EVENT_TRANSLATION_H_
 
@@ -10,11 +10,7 @@
 
 namespace postspread::planner {
 
-// The part of a client's timeout in which the final response must have left already, so that it arrives in
-// time: the request's way in and the response's way back.
-inline constexpr std::chrono::milliseconds kNetworkMargin{10};
-
-// How long the request may take here; never 0, as its client waits still.
+// How long a request may take here, so that its response reaches the client within `timeout`; at least 1 ms.
 Duration TimeLeft(std::chrono::milliseconds timeout);
 
 // `demand` is left for the caller to fill in.
--- a/tests/net/upstream/upstream_pool_test.cpp
+++ b/tests/net/upstream/upstream_pool_test.cpp
@@ -197,7 +197,7 @@
 
 // Two upstreams and a class that is not idempotent.
 struct NonIdempotentSite {
-  explicit NonIdempotentSite(json changes = json::object()) : site(2, Merged(std::move(changes))) {}
+  explicit NonIdempotentSite(const json& changes = json::object()) : site(2, Merged(changes)) {}
   static json Merged(const json& changes) {
     json out = NoQuota();
     out["settings"]["Classes"] = {
--- a/tests/planner/class_slots_test.cpp
+++ b/tests/planner/class_slots_test.cpp
@@ -17,6 +17,7 @@
 
 std::vector<std::string> Names(const std::vector<ClassSettings>& classes) {
   std::vector<std::string> names;
+  names.reserve(classes.size());
   for (const ClassSettings& each : classes) names.push_back(each.name);
   return names;
 }
