--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -1,3 +1,4 @@
+// The functions of each block below are the table from its keys and words to the fields of a Limits struct.
 #include "operator/operator_file.h"
 
 #include <confuse.h>
@@ -9,7 +10,7 @@
 #include <initializer_list>
 #include <memory>
 #include <sstream>
-#include <utility>
+#include <vector>
 
 #include "operator/values.h"
 
@@ -41,30 +42,35 @@
   error_sink->fault = error_sink->name + ":" + std::to_string(cfg->line) + ": " + text;
 }
 
+// A word of the file and the value that it stands for.
 template <typename T>
-using Words = std::initializer_list<std::pair<const char*, T>>;
+struct EnumName {
+  const char* name;
+  T value;
+};
 
 template <typename T>
-int ParseWord(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result, const char* all, Words<T> words) {
+int ParseEnum(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result, const char* all_names,
+              std::initializer_list<EnumName<T>> names) {
   if (GivenTwice(cfg, opt)) return -1;
-  for (const auto& [name, word] : words) {
-    if (std::strcmp(name, value) != 0) continue;
-    *static_cast<long*>(result) = static_cast<long>(word);
+  for (const EnumName<T>& known : names) {
+    if (std::strcmp(known.name, value) != 0) continue;
+    *static_cast<long*>(result) = static_cast<long>(known.value);
     return 0;
   }
-  BadWord(cfg, opt, value, all);
+  ReportUnknownName(cfg, opt, value, all_names);
   return -1;
 }
 
 int ParseWhenFull(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
   using idempotency::WhenFull;
-  return ParseWord<WhenFull>(cfg, opt, value, result, "defer, pass",
+  return ParseEnum<WhenFull>(cfg, opt, value, result, "defer, pass",
                              {{"defer", WhenFull::kReject}, {"pass", WhenFull::kStartUnprotected}});
 }
 
-int ParseUnvouched(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
+int ParseWhenUnconfirmed(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
   using idempotency::WhenUnconfirmed;
-  return ParseWord<WhenUnconfirmed>(
+  return ParseEnum<WhenUnconfirmed>(
       cfg, opt, value, result, "pin, defer",
       {{"pin", WhenUnconfirmed::kStartSticky}, {"defer", WhenUnconfirmed::kReject}});
 }
@@ -127,7 +133,7 @@
   out.suspicion = std::chrono::milliseconds(cfg_getint(block, "suspicion"));
   out.forget = std::chrono::milliseconds(cfg_getint(block, "forget"));
   const auto wrong = [&](const char* what) { throw OperatorError(file + ": " + what); };
-  // Knocks are five a period: in two, ten must fail before anybody is declared dead.
+  // Confirmation probes are five a period: in two periods ten fail before a member is declared dead.
   if (out.suspicion < 2 * out.period) wrong("fleet.suspicion is shorter than two of fleet.period");
   if (out.forget < out.suspicion) wrong("fleet.forget is shorter than fleet.suspicion");
   if (out.listen.empty() && !out.seeds.empty()) wrong("fleet.seeds needs fleet.listen");
@@ -141,67 +147,93 @@
           .least = static_cast<std::size_t>(cfg_getint(block, "least"))};
 }
 
-}  // namespace
-
-OperatorFile Decode(const std::string& text, const std::string& name) {
-  const idempotency::Limits keys;
-  cfg_opt_t idempotency_block[] = {
-      CFG_BOOL_CB("enabled", keys.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-      CFG_INT_CB("memory", static_cast<long>(keys.memory), CFGF_NONE, ParseSize),
-      CFG_INT_CB("keep", keys.keep.count(), CFGF_NONE, ParseSpan),
-      CFG_FLOAT_CB("customer_share", keys.customer_quota, CFGF_NONE, ParseShare),
-      CFG_INT_CB("max_waiters", static_cast<long>(keys.max_waiters), CFGF_NONE, ParseCount),
-      CFG_INT_CB("when_full", static_cast<long>(keys.when_full), CFGF_NONE, ParseWhenFull),
-      CFG_INT_CB("unvouched", static_cast<long>(keys.when_unconfirmed), CFGF_NONE, ParseUnvouched),
-      CFG_INT_CB("witnesses", static_cast<long>(keys.replicas), CFGF_NONE, ParseCount),
-      CFG_INT_CB("datagrams_per_second", static_cast<long>(keys.datagrams_per_second), CFGF_NONE, ParseCount),
-      CFG_INT_CB("peer_silent", keys.peer_silent.count(), CFGF_NONE, ParseSpan),
-      CFG_END()};
-  const usage::Limits usage;
-  cfg_opt_t usage_block[] = {
-      CFG_BOOL_CB("tell", usage.broadcast ? cfg_true : cfg_false, CFGF_NONE, ParseFlag), CFG_END()};
-  const membership::Limits membership;
-  cfg_opt_t membership_block[] = {
-      CFG_BOOL_CB("enabled", membership.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-      CFG_STR("name", membership.name.c_str(), CFGF_NONE),
-      CFG_STR_LIST("seeds", const_cast<char*>("{}"), CFGF_NONE),
-      CFG_STR("listen", "", CFGF_NONE),
-      CFG_INT_CB("datagram", static_cast<long>(membership.datagram), CFGF_NONE, ParseSize),
-      CFG_INT_CB("datagrams_per_second", static_cast<long>(membership.datagrams_per_second), CFGF_NONE,
+// ---- The blocks' keys, parsers and defaults ----
+
+using Options = std::vector<cfg_opt_t>;
+
+Options IdempotencyOptions() {
+  const idempotency::Limits defaults;
+  return {
+      CFG_BOOL_CB("enabled", defaults.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
+      CFG_INT_CB("memory", static_cast<long>(defaults.memory), CFGF_NONE, ParseSize),
+      CFG_INT_CB("keep", defaults.keep.count(), CFGF_NONE, ParseSpan),
+      CFG_FLOAT_CB("customer_share", defaults.customer_quota, CFGF_NONE, ParseFraction),
+      CFG_INT_CB("max_waiters", static_cast<long>(defaults.max_waiters), CFGF_NONE, ParseCount),
+      CFG_INT_CB("when_full", static_cast<long>(defaults.when_full), CFGF_NONE, ParseWhenFull),
+      CFG_INT_CB("unvouched", static_cast<long>(defaults.when_unconfirmed), CFGF_NONE, ParseWhenUnconfirmed),
+      CFG_INT_CB("witnesses", static_cast<long>(defaults.replicas), CFGF_NONE, ParseCount),
+      CFG_INT_CB("datagrams_per_second", static_cast<long>(defaults.datagrams_per_second), CFGF_NONE,
                  ParseCount),
-      CFG_INT_CB("period", membership.period.count(), CFGF_NONE, ParseSpan),
-      CFG_INT_CB("suspicion", membership.suspicion.count(), CFGF_NONE, ParseSpan),
-      CFG_INT_CB("forget", membership.forget.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("peer_silent", defaults.peer_silent.count(), CFGF_NONE, ParseSpan),
       CFG_END()};
-  const subsetting::Limits subsetting;
-  cfg_opt_t subsetting_block[] = {
-      CFG_BOOL_CB("subsets", subsetting.subsets ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
-      CFG_INT_CB("nodes", static_cast<long>(subsetting.nodes), CFGF_NONE, ParseCount),
-      CFG_INT_CB("least", static_cast<long>(subsetting.least), CFGF_NONE, ParseCount), CFG_END()};
-  cfg_opt_t blocks[] = {CFG_SEC("idempotency", idempotency_block, CFGF_NONE),
-                        CFG_SEC("demand", usage_block, CFGF_NONE),
-                        CFG_SEC("fleet", membership_block, CFGF_NONE),
-                        CFG_SEC("concert", subsetting_block, CFGF_NONE),
+}
+
+Options UsageOptions() {
+  const usage::Limits defaults;
+  return {CFG_BOOL_CB("tell", defaults.broadcast ? cfg_true : cfg_false, CFGF_NONE, ParseFlag), CFG_END()};
+}
+
+Options MembershipOptions() {
+  static const membership::Limits defaults;  // the options point into its strings until they are copied
+  return {CFG_BOOL_CB("enabled", defaults.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
+          CFG_STR("name", defaults.name.c_str(), CFGF_NONE),
+          CFG_STR_LIST("seeds", const_cast<char*>("{}"), CFGF_NONE),
+          CFG_STR("listen", "", CFGF_NONE),
+          CFG_INT_CB("datagram", static_cast<long>(defaults.datagram), CFGF_NONE, ParseSize),
+          CFG_INT_CB("datagrams_per_second", static_cast<long>(defaults.datagrams_per_second), CFGF_NONE,
+                     ParseCount),
+          CFG_INT_CB("period", defaults.period.count(), CFGF_NONE, ParseSpan),
+          CFG_INT_CB("suspicion", defaults.suspicion.count(), CFGF_NONE, ParseSpan),
+          CFG_INT_CB("forget", defaults.forget.count(), CFGF_NONE, ParseSpan),
+          CFG_END()};
+}
+
+Options SubsettingOptions() {
+  const subsetting::Limits defaults;
+  return {CFG_BOOL_CB("subsets", defaults.subsets ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
+          CFG_INT_CB("nodes", static_cast<long>(defaults.nodes), CFGF_NONE, ParseCount),
+          CFG_INT_CB("least", static_cast<long>(defaults.least), CFGF_NONE, ParseCount), CFG_END()};
+}
+
+// A parser for the whole file. libconfuse copies the options.
+ConfigHandle MakeParser(const std::string& file) {
+  Options idempotency = IdempotencyOptions();
+  Options usage = UsageOptions();
+  Options membership = MembershipOptions();
+  Options subsetting = SubsettingOptions();
+  cfg_opt_t blocks[] = {CFG_SEC("idempotency", idempotency.data(), CFGF_NONE),
+                        CFG_SEC("demand", usage.data(), CFGF_NONE),
+                        CFG_SEC("fleet", membership.data(), CFGF_NONE),
+                        CFG_SEC("concert", subsetting.data(), CFGF_NONE),
                         CFG_BOOL(kEnd, cfg_false, CFGF_NONE),
                         CFG_END()};
-
-  const ConfigHandle root(cfg_init(blocks, CFGF_NONE));
-  if (!root) throw OperatorError(name + ": not enough memory to read it");
-  ErrorSink sink{name, {}};
-  error_sink = &sink;
+  ConfigHandle root(cfg_init(blocks, CFGF_NONE));
+  if (!root) throw OperatorError(file + ": not enough memory to read it");
   cfg_set_error_function(root.get(), KeepError);
   CheckIdempotency(root.get());
   CheckMembership(root.get());
   cfg_set_validate_func(root.get(), "concert|nodes", Within<2, 1'000>);
   cfg_set_validate_func(root.get(), "concert|least", Within<1, 1'000>);
+  return root;
+}
+
+void Parse(cfg_t* root, const std::string& text, const std::string& file) {
+  ErrorSink sink{file, {}};
+  error_sink = &sink;
   const bool is_text = text.find('\0') == std::string::npos;
   const int result =
-      is_text ? cfg_parse_buf(root.get(), (text + "\n" + kEnd + " = true\n").c_str()) : CFG_FILE_ERROR;
+      is_text ? cfg_parse_buf(root, (text + "\n" + kEnd + " = true\n").c_str()) : CFG_FILE_ERROR;
   error_sink = nullptr;
-  if (sink.fault.find(kEnd) != std::string::npos) throw OperatorError(name + ": a block is not closed");
-  if (result != CFG_SUCCESS) {
-    throw OperatorError(sink.fault.empty() ? name + ": not a text file" : sink.fault);
-  }
+  if (sink.fault.find(kEnd) != std::string::npos) throw OperatorError(file + ": a block is not closed");
+  if (result == CFG_SUCCESS) return;
+  throw OperatorError(sink.fault.empty() ? file + ": not a text file" : sink.fault);
+}
+
+}  // namespace
+
+OperatorFile Decode(const std::string& text, const std::string& name) {
+  const ConfigHandle root = MakeParser(name);
+  Parse(root.get(), text, name);
   return {.idempotency = DecodeIdempotency(cfg_getsec(root.get(), "idempotency")),
           .usage = {.broadcast = cfg_getbool(cfg_getsec(root.get(), "demand"), "tell") == cfg_true},
           .membership = DecodeMembership(cfg_getsec(root.get(), "fleet"), name),
--- a/src/operator/values.cpp
+++ b/src/operator/values.cpp
@@ -80,25 +80,25 @@
   if (GivenTwice(cfg, opt)) return -1;
   const std::string_view text = value;
   if (text != "true" && text != "false") {
-    BadWord(cfg, opt, value, "true, false");
+    ReportUnknownName(cfg, opt, value, "true, false");
     return -1;
   }
   *static_cast<cfg_bool_t*>(result) = text == "true" ? cfg_true : cfg_false;
   return 0;
 }
 
-int ParseShare(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
+int ParseFraction(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
   if (GivenTwice(cfg, opt)) return -1;
   const std::string_view text = value;
-  double& share = *static_cast<double*>(result);
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), share);
-  if (error == std::errc() && end == text.data() + text.size() && share > 0 && share <= 1) return 0;
+  double& fraction = *static_cast<double*>(result);
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fraction);
+  if (error == std::errc() && end == text.data() + text.size() && fraction > 0 && fraction <= 1) return 0;
   cfg_error(cfg, "%s is \"%s\": a share above 0 and up to 1 is wanted", FullName(cfg, opt).c_str(), value);
   return -1;
 }
 
-void BadWord(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* words) {
-  cfg_error(cfg, "%s is \"%s\": one of %s is wanted", FullName(cfg, opt).c_str(), value, words);
+void ReportUnknownName(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* names) {
+  cfg_error(cfg, "%s is \"%s\": one of %s is wanted", FullName(cfg, opt).c_str(), value, names);
 }
 
 void OutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long least, long most, const char* unit) {
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -17,11 +17,11 @@
 int ParseSpan(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
 int ParseSize(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
 int ParseCount(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
-int ParseFlag(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);   // leaves a cfg_bool_t
-int ParseShare(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);  // above 0 up to 1; a double
+int ParseFlag(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);      // leaves a cfg_bool_t
+int ParseFraction(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);  // above 0 up to 1; a double
 
-// Reports that `value` is none of `words`.
-void BadWord(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* words);
+// Reports that `value` is none of `names`.
+void ReportUnknownName(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* names);
 // Reports a second value for a key; false where this is the first.
 bool GivenTwice(cfg_t* cfg, cfg_opt_t* opt);
 
