--- a/src/net/gateway/action_router.cpp
+++ b/src/net/gateway/action_router.cpp
@@ -12,6 +12,8 @@
 struct Overloaded : Callables... {
   using Callables::operator()...;
 };
+template <typename... Callables>
+Overloaded(Callables...) -> Overloaded<Callables...>;
 
 }  // namespace
 
--- a/tests/flow/process_test.cpp
+++ b/tests/flow/process_test.cpp
@@ -1,5 +1,4 @@
-// Large values, slow partners and crowds, with the real program: what passes through it, what it holds
-// meanwhile.
+// Large values, slow clients and connection floods, with the real program over loopback.
 #include <algorithm>
 #include <random>
 
@@ -27,7 +26,7 @@
 }
 std::string Answer(const std::string& value) { return "*3\r\n" + value + "$-1\r\n$9\r\nutil=0.25\r\n"; }
 
-TEST_CASE("a value cut anywhere arrives byte for byte, while it still comes") {
+TEST_CASE("a value in any fragments arrives byte for byte, and begins before it is complete") {
   Site site(1);
   site.Start(1);
   Site::Held held = site.Hold("first");
@@ -36,14 +35,14 @@
   for (const std::size_t size : {65'536u, 65'537u, 300'000u, 4'194'304u}) {
     held.client.Send(Read("v" + std::to_string(size)));
     site.Grant();
-    held.upstream.Command();  // the connection is used again after each
+    held.upstream.Command();  // the connection is reused after each
     const std::string value = Value(size, static_cast<unsigned>(size));
     const std::string answer = Answer(value);
     std::string got;
     for (std::size_t at = 0; at < answer.size();) {
       const std::size_t most = random() % 3 == 0 ? 1 + random() % 5 : 1 + random() % 200'000;
       at += held.upstream.SendSome(std::string_view(answer).substr(at, most));
-      // What has come of a large value is on its way to the client before the rest is there.
+      // The beginning of a large value is streamed to the client before the rest has arrived.
       if (size > 65'536 && at > 70'000 && got.empty()) got = held.client.Some(1 << 20);
       while (held.client.HasMore()) got += held.client.Some(1 << 20);
     }
@@ -52,11 +51,11 @@
   }
 }
 
-TEST_CASE("many large answers to clients that read slowly stay within a bound") {
+TEST_CASE("many large responses to slow readers stay within the memory limit") {
   Site site(1, {{"limits", {{"memory_mb", 48}, {"sockets", 256}}}});
   site.Start(1);
   const std::string value = Value(4 * kMegabyte, 5), answer = Answer(value);
-  constexpr std::size_t kClients = 24;  // twice the limit, if it were held
+  constexpr std::size_t kClients = 24;  // twice the limit, if all were buffered
   std::vector<Site::Held> held;
   for (std::size_t i = 0; i < kClients; ++i) held.push_back(site.Hold("m" + std::to_string(i)));
   // Upstreams write as fast as they can; clients read a little in turn.
@@ -76,7 +75,7 @@
   CHECK(site.PeakMemory() < 24 * kMegabyte + kSanitizers);
 }
 
-TEST_CASE("a value that breaks off, waits for its turn, or is left by its client") {
+TEST_CASE("a streamed value that breaks off, waits for its turn, or loses its client") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -89,7 +88,7 @@
   const std::string value = Value(1 * kMegabyte, 6);
   const std::string begun = "*3\r\n" + value.substr(0, 200'000);
 
-  SECTION("behind another answer it waits, then goes on") {
+  SECTION("behind another response it waits, then goes on") {
     second.Send(Answer(value).substr(0, 100'000));
     site.Ping();  // what was sent before has been read
     CHECK_FALSE(client.HasMore());
@@ -98,36 +97,38 @@
     second.Send(Answer(value).substr(100'000));
     CHECK((client.Bytes(value.size()) == value));
   }
-  SECTION("garbage behind it costs what is owed after it, and nothing is written into it") {
+  SECTION("after a protocol error pending responses behind it fail, and nothing is written into it") {
     first.Send(begun);
     client.Send("garbage\r\n");
     second.Command();
-    CHECK(second.Ended());  // the other request has been given up
+    CHECK(second.Ended());  // the other request has been cancelled
     first.Send(value.substr(200'000));
     CHECK((client.Bytes(value.size()) == value));
     CHECK(client.Line() == "-ERR failed\r\n");
     CHECK(client.Line().find("-ERR Protocol error") == 0);
     CHECK(client.Ended());
   }
-  SECTION("a client that goes takes the attempt along") {
+  SECTION("a client that disconnects cancels the attempt") {
     first.Send(begun);
     client.Close();
     CHECK(first.Ended());
   }
-  SECTION("what breaks off ends the client's connection, and nothing follows it") {
+  SECTION("one that breaks off ends the client's connection, and nothing follows it") {
     second.Send(kValue);
     first.Send(begun);
     std::string got = client.Bytes(150'000);
     SECTION("it is reset") { first.Reset(); }
     SECTION("it closes") { first.Close(); }
-    SECTION("its last line end is none") { first.Send(value.substr(200'000, value.size() - 200'002) + "xx"); }
+    SECTION("its last line end is malformed") {
+      first.Send(value.substr(200'000, value.size() - 200'002) + "xx");
+    }
     got += client.Bytes(2 * kMegabyte);
     CHECK(got.size() < value.size());
     CHECK(value.compare(0, got.size(), got) == 0);
   }
 }
 
-TEST_CASE("large bodies are read under the budget, each in its turn, and pass on unchanged") {
+TEST_CASE("large bodies are read under the budget, first come first served, and forwarded unchanged") {
   const json order = {
       {"Name", "order"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "unsafe"}};
   Site site(1, {{"limits", {{"memory_mb", 32}, {"sockets", 256}}}, {"settings", {{"Classes", {order}}}}});
@@ -148,10 +149,13 @@
     }
   };
   write_all();
-  CHECK(site.Ping() == "+PONG\r\n");  // small commands do not stand in that line
+  CHECK(site.Ping() == "+PONG\r\n");  // small commands do not wait in that line
   std::optional<Peer> upstream;
   for (std::size_t served = 0; served < kClients; ++served) {
-    while (!site.calls().HasMore()) write_all(), usleep(500);
+    while (!site.calls().HasMore()) {
+      write_all();
+      usleep(500);
+    }
     site.Grant();
     if (!upstream) upstream.emplace(site.upstream(0).Accept());
     const auto came = upstream->Command();
@@ -162,16 +166,16 @@
   CHECK(site.PeakMemory() < 32 * kMegabyte + kSanitizers);
 }
 
-TEST_CASE("a head may take two seconds, one that stops is told, and its room goes to the next") {
+TEST_CASE("a head may take two seconds, a stalled command times out, and its reservation goes to the next") {
   Site site(1, {{"limits", {{"memory_mb", 32}}}});
   site.Start(1);
   const std::string head = "*5\r\n$9\r\nAPI.WRITE\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$4000000\r\n";
-  std::vector<Peer> stopped;
-  stopped.reserve(3);
-  for (int i = 0; i < 3; ++i) stopped.push_back(site.Client());
-  Peer waiting = std::move(stopped.back());
-  stopped.pop_back();
-  for (Peer& peer : stopped) peer.Send(head + "xx");  // two of 4 MB fill the budget of 8 ...
+  std::vector<Peer> stalled;
+  stalled.reserve(3);
+  for (int i = 0; i < 3; ++i) stalled.push_back(site.Client());
+  Peer waiting = std::move(stalled.back());
+  stalled.pop_back();
+  for (Peer& peer : stalled) peer.Send(head + "xx");  // two of 4 MB fill the budget of 8 ...
   site.Ping();
   waiting.Send(head);  // ... and a third waits
   Peer slow = site.Client();
@@ -182,22 +186,23 @@
   }
   site.Grant();
   CHECK(site.upstream(0).Accept().Command().at(2) == "s");
-  for (Peer& peer : stopped) CHECK(peer.Line() == "-ERR Protocol error: command not finished in time\r\n");
-  const std::string rest = std::string(4'000'000, 'x') + "\r\n";  // the room is free: what waited is read
+  for (Peer& peer : stalled) CHECK(peer.Line() == "-ERR Protocol error: command not finished in time\r\n");
+  const std::string rest =
+      std::string(4'000'000, 'x') + "\r\n";  // the reservation is free: what waited is read
   for (std::size_t at = 0; at < rest.size(); usleep(500)) {
     at += waiting.SendSome(std::string_view(rest).substr(at));
   }
   CHECK(waiting.Line() == "-ERR bad customer\r\n");
 }
 
-TEST_CASE("true clients are served among a crowd that never finishes, and a stop ends it") {
+TEST_CASE("sound clients are served during a flood of unfinished commands, and a shutdown ends it") {
   Site site(1, {{"limits", {{"memory_mb", 24}, {"sockets", 96}}}});  // of which clients get fifty
   site.Start(1);
-  std::vector<Peer> crowd;
+  std::vector<Peer> flood;
   const auto more = [&](int count) {
     for (int i = 0; i < count; ++i) {
-      crowd.push_back(site.Client());
-      if (i % 2 == 0) crowd.back().SendSome("*4\r\n$8\r\nAPI.READ\r\n$16\r\n000");
+      flood.push_back(site.Client());
+      if (i % 2 == 0) flood.back().SendSome("*4\r\n$8\r\nAPI.READ\r\n$16\r\n000");
     }
   };
   more(120);
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -1,4 +1,4 @@
-// The admin server, drain, new settings and upgrade, with the real program and real calls over loopback.
+// Admin server, drain, reload and upgrade, with the real program over loopback.
 #include "partners/site.h"
 
 namespace postspread {
@@ -6,9 +6,9 @@
 
 using namespace site;
 
-bool Yes(const std::string& response) { return response.find("HTTP/1.1 200 ") == 0; }
+bool IsOk(const std::string& response) { return response.find("HTTP/1.1 200 ") == 0; }
 
-TEST_CASE("the door reads calls however they are cut, and silent callers keep out nobody") {
+TEST_CASE("the admin server reads calls in any fragments, and silent callers lock out nobody") {
   Site site(1, {{"ops", true}});
   site.Start(1);
   std::vector<Peer> silent;
@@ -16,8 +16,8 @@
     silent.push_back(Connect(site.ops()));
     if (i % 2 == 0) silent.back().Send("GET /v1/readyz HTTP/1.1\r\nHost:");
   }
-  for (int i = 0; i < 3; ++i) CHECK(Yes(site.Call("GET /v1/readyz")));
-  CHECK(silent.front().Ended());  // the longest here went first
+  for (int i = 0; i < 3; ++i) CHECK(IsOk(site.Call("GET /v1/readyz")));
+  CHECK(silent.front().Ended());  // the oldest was evicted first
   CHECK(site.Call("POST /v1/readyz").find("\r\nAllow: GET\r\n") != std::string::npos);
   CHECK(site.Call("what is this").find("HTTP/1.1 400 Bad Request\r\n") == 0);
   Peer cut = Connect(site.ops());
@@ -28,7 +28,7 @@
   CHECK(cut.Line() == "HTTP/1.1 200 OK\r\n");
 }
 
-TEST_CASE("figures are those that clients and next hops count") {
+TEST_CASE("the metrics are what clients and upstreams count") {
   Site site(1, {{"ops", true}, {"settings", {{"Limits", {{"MostTries", 1}}}}}});
   site.Start(1);
   CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 0);
@@ -54,10 +54,10 @@
   CHECK(site.Metric("svc_config_reload_errors") == 1);
 }
 
-TEST_CASE("an attempt counts once its last byte has gone to the socket, not when it is buffered") {
+TEST_CASE("an attempt is counted once its last byte is written to the socket, not when it is buffered") {
   Port full(0);  // connections to it come up only when one before is taken
   Site site(1, {{"ops", true}});
-  const Peer crowd = Connect(full.number());
+  const Peer queued = Connect(full.number());
   Peer watch = site.discovery().Accept();
   watch.Until("\r\n\r\n");
   Site::Tell(watch, Site::List(true, {{{"name", "s-0"}, {"address", full.address()}, {"status", "Ready"}}}));
@@ -71,23 +71,24 @@
   CHECK(site.Metric("svc_upstream_requests") == 0);
 }
 
-TEST_CASE("a drain: no at once, served on, kept connections closed between requests, and back") {
+TEST_CASE(
+    "a drain: not ready at once, still serving, connections closed between requests, and activated again") {
   Site site(1, {{"ops", true}});
   site.Start(1);
   Peer idle = site.Client();
   CHECK(Site::Ping(idle) == "+PONG\r\n");
   Site::Held busy = site.Hold("a");
-  Peer cut = site.Client();  // a command that has begun to come when the drain begins
+  Peer cut = site.Client();  // a command that has begun to arrive when the drain begins
   const std::string command = Read("c");
   cut.Send(command.substr(0, 40));
-  for (int i = 0; i < 2; ++i) CHECK(Yes(site.Call("PUT /v1/gatekeeper/drain")));
-  CHECK_FALSE(Yes(site.Call("GET /v1/readyz")));
+  for (int i = 0; i < 2; ++i) CHECK(IsOk(site.Call("PUT /v1/gatekeeper/drain")));
+  CHECK_FALSE(IsOk(site.Call("GET /v1/readyz")));
   CHECK(Site::Ping(idle) == "-LOADING not serving\r\n");
-  Site::Held late = site.Hold("b");  // the front still sends for a moment
+  Site::Held late = site.Hold("b");  // the load balancer still routes here for a moment
   late.Serve();
   CHECK(idle.Ended());
   CHECK(late.client.Ended());
-  CHECK_FALSE(busy.client.HasMore());  // an answer is owed
+  CHECK_FALSE(busy.client.HasMore());  // its response is pending
   cut.Send(command.substr(40));
   site.Grant();
   CHECK(late.upstream.Command().at(2) == "c");
@@ -96,18 +97,18 @@
   CHECK(cut.Ended());
   busy.Serve();
   CHECK(busy.client.Ended());
-  SECTION("activate ends it") {
-    CHECK(Yes(site.Call("PUT /v1/gatekeeper/activate")));
-    CHECK(Yes(site.Call("GET /v1/readyz")));
+  SECTION("activate ends the drain") {
+    CHECK(IsOk(site.Call("PUT /v1/gatekeeper/activate")));
+    CHECK(IsOk(site.Call("GET /v1/readyz")));
     CHECK(site.Ping() == "+PONG\r\n");
   }
-  SECTION("SIGTERM in a drain ends the program") {
+  SECTION("SIGTERM during a drain ends the program") {
     site.Terminate();
     CHECK(site.Wait() == 0);
   }
 }
 
-TEST_CASE("new settings: classes come and go, a request keeps the rules it came under") {
+TEST_CASE("reload: classes come and go, a request keeps the rules that it was admitted under") {
   const json lookup = {
       {"Name", "lookup"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "safe"}};
   json later = lookup;
@@ -140,20 +141,21 @@
   Peer third = site.Client();
   third.Send(Read("gone"));
   CHECK(third.Line() == "-ERR unknown class\r\n");
-  second.Send("-ERR failed\r\n");  // it may have run, and its class allows no repeat
+  second.Send("-ERR failed\r\n");  // it may have run, and its class allows no retry
   CHECK(client.Line() == "-ERR failed\r\n");
   old.upstream.Send(
-      "-ERR failed\r\n");  // one of two attempts, by the settings it came under: it goes out again
+      "-ERR failed\r\n");  // one of two attempts, by the settings that it was admitted under: it is retried
   CHECK(second.Command().at(2) == "old");  // on the connection that is free
   second.Send(kValue);
   CHECK(old.client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);  // a class that went is told of still
+  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);  // the metrics of a removed class stay
 }
 
-TEST_CASE("an upgrade: two processes on one socket, each request answered once, nothing closed on") {
+TEST_CASE(
+    "an upgrade: two processes on one socket, each request gets one response, no request is closed on") {
   Port shared(64);
   const int second_ops = FreeNumber();
-  // With the telling of demand both bind one address for datagrams, too.
+  // With the broadcast of usage both bind one address for datagrams, too.
   const json peers = {{"peer_listen", "127.0.0.1:" + std::to_string(FreeNumber())},
                       {"peers", {"127.0.0.1:1", "127.0.0.1:2"}},
                       {"settings", {{"Limits", {{"MayTell", true}}}}},
@@ -172,8 +174,8 @@
   watch.Until("\r\n\r\n");
   Site::Tell(watch, Site::List(true, site.Entries(0, 1, "Ready")));
   Peer calls = site.counter().Accept();
-  while (!Yes(Site::Call(second_ops, "GET /v1/readyz"))) usleep(10'000);
-  CHECK(Yes(site.Call("GET /v1/readyz")));  // both serve for a while
+  while (!IsOk(Site::Call(second_ops, "GET /v1/readyz"))) usleep(10'000);
+  CHECK(IsOk(site.Call("GET /v1/readyz")));  // both serve for a while
 
   kill(first, SIGTERM);
   CHECK(idle.Ended());
@@ -202,18 +204,20 @@
   CHECK(site.Ping() == "+PONG\r\n");
 }
 
-TEST_CASE("of two sockets bound to one address for datagrams the one bound last gets them") {
+TEST_CASE("of two datagram sockets bound to one address the one bound last receives") {
   const auto bound = [](sockaddr_in address) {
-    const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), one = 1;
+    const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+    const int one = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     return fd;
   };
   const sockaddr_in address = Loopback(FreeNumber());
-  const Socket first(bound(address)), second(bound(address)),
-      from(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+  const Socket first(bound(address));
+  const Socket second(bound(address));
+  const Socket sender(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   for (int i = 0; i < 50; ++i) {
-    REQUIRE(sendto(from.fd(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 1);
+    REQUIRE(sendto(sender.fd(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 1);
   }
   char byte = 0;
   for (int i = 0; i < 50; ++i) CHECK(recv(second.fd(), &byte, 1, 0) == 1);
