--- a/include/postspread/control.h
+++ b/include/postspread/control.h
@@ -100,7 +100,7 @@
   Duration answer_slack{0};         // past the deadline, in which a final answer still counts
   Duration drain_grace{0};          // in which attempts at a draining or removed server must end
   Duration subscribe_within{0};     // without a subscription, the age at which a list counts as known
-  double cold_capacity = 1.0;       // fraction of its capacity that a server has when it starts
+  double initial_capacity = 1.0;    // fraction of its capacity that a server has when it starts
   Duration slow_start_duration{0};  // until it has its full capacity
   double overload_multiple = 0.0;   // a server in slow start that is sent more than this multiple of ...
   Duration overload_window{0};      // ... its capacity for so long is overloaded and fails
@@ -123,7 +123,7 @@
   double errors_per_second = -1.0;
 };
 
-enum class ServerState { kUp, kDraining, kGone };
+enum class ServerState { kUp, kDraining, kRemoved };
 
 struct ServerInfo {
   std::string id;
@@ -192,7 +192,7 @@
   Duration elapsed{0};
 };
 
-struct ClientGoneEvent {
+struct ClientDisconnectedEvent {
   RequestId id = 0;
 };
 
@@ -223,8 +223,8 @@
   std::string bytes;
 };
 
-using Event = std::variant<EndpointListEvent, RequestEvent, OutcomeEvent, StreamStartedEvent, ClientGoneEvent,
-                           TimerEvent, CounterEvent, ProbeEvent, PeerMessageEvent>;
+using Event = std::variant<EndpointListEvent, RequestEvent, OutcomeEvent, StreamStartedEvent,
+                           ClientDisconnectedEvent, TimerEvent, CounterEvent, ProbeEvent, PeerMessageEvent>;
 
 // ---- Actions ----
 
@@ -300,7 +300,7 @@
 
   // Servers in the endpoint list, and of these the ones avoided at `now`: draining or ejected.
   struct UpstreamCounts {
-    std::size_t listed = 0;
+    std::size_t total = 0;
     std::size_t avoided = 0;
   };
   [[nodiscard]] UpstreamCounts Count(TimePoint now) const;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -145,8 +145,8 @@
   out.answer_slack = TimeOr(safety, "AnswerSlack");
   out.drain_grace = TimeOr(safety, "DrainGrace");
   out.subscribe_within = TimeOr(safety, "AskWithin");
-  out.cold_capacity = NumberOr(safety, "ColdShare", 1);
-  if (out.cold_capacity < 0 || out.cold_capacity > 1) {
+  out.initial_capacity = NumberOr(safety, "ColdShare", 1);
+  if (out.initial_capacity < 0 || out.initial_capacity > 1) {
     ThrowJsonError("member \"ColdShare\" is not between 0 and 1");
   }
   out.slow_start_duration = TimeOr(safety, "WarmWithin");
--- a/src/flow/datagram_budget.cpp
+++ b/src/flow/datagram_budget.cpp
@@ -17,7 +17,7 @@
   refilled_ = now;
   tokens_ = std::min(per_second_, tokens_ + seconds * per_second_);
   if (tokens_ < std::min(1.0, per_second_) + kReserved[static_cast<std::size_t>(kind)] * per_second_) {
-    ++held_back_;
+    ++throttled_;
     return false;
   }
   tokens_ -= static_cast<double>(receivers);
--- a/src/flow/datagram_budget.h
+++ b/src/flow/datagram_budget.h
@@ -24,13 +24,13 @@
   // the following ones wait until they are refilled.
   bool Take(DatagramKind kind, std::size_t receivers, std::chrono::steady_clock::time_point now);
   void SetRate(double per_second) { per_second_ = per_second; }
-  [[nodiscard]] std::uint64_t held_back() const { return held_back_; }
+  [[nodiscard]] std::uint64_t throttled() const { return throttled_; }
 
  private:
   double per_second_;
   double tokens_;
   std::chrono::steady_clock::time_point refilled_{};
-  std::uint64_t held_back_ = 0;
+  std::uint64_t throttled_ = 0;
 };
 
 }  // namespace postspread::flow
--- a/src/http/response.cpp
+++ b/src/http/response.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxBody = std::size_t{8} * 1024 * 1024;
 
-bool SameWord(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
@@ -98,15 +98,15 @@
     return;
   }
   const std::string_view name = line.substr(0, colon), value = Trim(line.substr(colon + 1));
-  if (SameWord(name, "content-length")) {
+  if (EqualsIgnoreCase(name, "content-length")) {
     has_length_ = ToSize(value, 10, left_);
     if (!has_length_ || left_ > kMaxBody) state_ = State::kBroken;
-  } else if (SameWord(name, "transfer-encoding")) {
-    chunked_ = SameWord(value, "chunked");
+  } else if (EqualsIgnoreCase(name, "transfer-encoding")) {
+    chunked_ = EqualsIgnoreCase(value, "chunked");
     if (!chunked_) state_ = State::kBroken;
-  } else if (SameWord(name, "connection")) {
-    if (SameWord(value, "close")) closes_ = true;
-    if (SameWord(value, "keep-alive")) closes_ = false;
+  } else if (EqualsIgnoreCase(name, "connection")) {
+    if (EqualsIgnoreCase(value, "close")) closes_ = true;
+    if (EqualsIgnoreCase(value, "keep-alive")) closes_ = false;
   }
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -49,9 +49,9 @@
   return unknown;
 }
 
-std::string Join(const std::vector<std::string>& words) {
+std::string Join(const std::vector<std::string>& items) {
   std::string joined;
-  for (const std::string& word : words) joined += (joined.empty() ? "" : ", ") + word;
+  for (const std::string& item : items) joined += (joined.empty() ? "" : ", ") + item;
   return joined;
 }
 
--- a/src/membership/send_budget.cpp
+++ b/src/membership/send_budget.cpp
@@ -25,7 +25,7 @@
   if (!context_.Defends(DisabledDefense::kBudget)) return true;
   const double reserve = kReserve[static_cast<std::size_t>(priority)] * context_.limits.datagrams_per_second;
   if (tokens_ < 1 + reserve) {
-    ++context_.counts.held_back;
+    ++context_.counts.throttled;
     return false;
   }
   tokens_ -= 1;
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -131,8 +131,8 @@
   std::uint64_t future = 0;              // of a later version, or an incarnation in the future
   std::uint64_t former_incarnation = 0;  // from a process that has been replaced
   std::uint64_t unasked = 0;             // a reply to no pending request
-  std::uint64_t no_room = 0;             // a member beyond kMaxMembers
-  std::uint64_t held_back = 0;           // not sent for want of budget
+  std::uint64_t over_capacity = 0;       // a member beyond kMaxMembers
+  std::uint64_t throttled = 0;           // not sent for want of budget
 };
 
 }  // namespace postspread::membership
--- a/src/membership/update_merger.cpp
+++ b/src/membership/update_merger.cpp
@@ -58,8 +58,8 @@
 }
 
 void UpdateMerger::ApplyToNew(const Entry& entry, PeerId peer, TimePoint now) {
-  if (!MakeRoom()) {
-    ++context_.counts.no_room;
+  if (!EvictRemovedMember()) {
+    ++context_.counts.over_capacity;
     return;
   }
   SetUpdate(table_.Insert(entry.name, peer), entry.update, OriginOf(entry), now);
@@ -174,7 +174,7 @@
   table_.OnUpdated(record, hash_before);
 }
 
-bool UpdateMerger::MakeRoom() {
+bool UpdateMerger::EvictRemovedMember() {
   if (!table_.IsFull()) return true;
   MemberRecord* oldest = table_.OldestDeparted();
   if (oldest == nullptr) return false;
--- a/src/membership/update_merger.h
+++ b/src/membership/update_merger.h
@@ -46,7 +46,7 @@
   void Refute(const MemberUpdate& update);
   void AnnounceSelf(const MemberUpdate& update);
   void SetUpdate(MemberRecord& record, const MemberUpdate& update, Origin origin, TimePoint now);
-  bool MakeRoom();
+  bool EvictRemovedMember();
   void Remove(MemberRecord& record);
 
   Context& context_;
--- a/src/net/downstream/client_connection.cpp
+++ b/src/net/downstream/client_connection.cpp
@@ -24,7 +24,7 @@
       return "-ERR outcome unknown: the change under this key may have been made\r\n";
     case planner::FailureReason::kOtherKey:
       return "-ERR this key was used for another request\r\n";
-    case planner::FailureReason::kAnswerGone:
+    case planner::FailureReason::kAnswerDropped:
       return "-ERR the change under this key was made, its answer is held no longer\r\n";
   }
   return "-ERR failed\r\n";
--- a/src/net/downstream/command_reader.cpp
+++ b/src/net/downstream/command_reader.cpp
@@ -71,14 +71,14 @@
 }
 
 bool CommandReader::Reserve() {
-  wanted_bytes_ = needed_bytes_;
-  is_queued_ = !budget_.TakeOrQueue(*this, wanted_bytes_);
+  requested_bytes_ = needed_bytes_;
+  is_queued_ = !budget_.TakeOrQueue(*this, requested_bytes_);
   if (!is_queued_) OnReserved();
   return !is_queued_;
 }
 
 void CommandReader::OnReserved() {
-  reserved_bytes_ = wanted_bytes_;
+  reserved_bytes_ = requested_bytes_;
   bufferevent_setwatermark(connection_, EV_READ, 0, std::max(reserved_bytes_, kReadAheadBytes));
 }
 
--- a/src/net/downstream/command_reader.h
+++ b/src/net/downstream/command_reader.h
@@ -69,7 +69,7 @@
   Clock::time_point last_read_at_ = Clock::now();
   flow::ArrivalTimes arrivals_;
   bool is_queued_ = false;  // for a reservation
-  std::size_t wanted_bytes_ = 0;
+  std::size_t requested_bytes_ = 0;
   std::size_t reserved_bytes_ = 0;
 };
 
--- a/src/net/downstream/connection_drainer.cpp
+++ b/src/net/downstream/connection_drainer.cpp
@@ -59,7 +59,7 @@
 void ConnectionDrainer::OnAccepted(ClientConnection& connection) {
   if (!started_at_) return;
   // Early in a drain clients are still routed here. Later a connection stays open for as long as its client
-  // needs to send a request and be told that none is admitted.
+  // has to send a request to learn that none is admitted.
   const auto now = Clock::now();
   const auto latest = std::max(now + kLateRequestGrace, *started_at_ + schedule_.last);
   const auto at = std::min(std::max(now + kFirstRequest, *started_at_ + schedule_.first), latest);
--- a/src/net/gateway/admin_service.cpp
+++ b/src/net/gateway/admin_service.cpp
@@ -14,7 +14,7 @@
   const Controller::UpstreamCounts upstreams = collaborators_.planner.Count(Clock::now());
   ops::Gauges gauges{.pending = collaborators_.in_flight.size() + collaborators_.streams.size(),
                      .client_connections = collaborators_.clients.size(),
-                     .members = upstreams.listed,
+                     .members = upstreams.total,
                      .members_unavailable = upstreams.avoided};
   if (const membership::Membership* membership = collaborators_.planner.membership()) {
     gauges.membership = CollectMembershipMetrics(*membership, collaborators_.peers);
--- a/src/net/gateway/membership_report.cpp
+++ b/src/net/gateway/membership_report.cpp
@@ -20,7 +20,7 @@
   }
   metrics.dropped = {{"unreadable", counts.unreadable}, {"foreign", counts.foreign},
                      {"future", counts.future},         {"former_life", counts.former_incarnation},
-                     {"unasked", counts.unasked},       {"no_room", counts.no_room}};
+                     {"unasked", counts.unasked},       {"no_room", counts.over_capacity}};
   metrics.suspicions_raised = counts.suspicions_raised;
   metrics.suspicions_refuted = counts.suspicions_refuted;
   metrics.deaths_declared = counts.deaths_declared;
@@ -28,7 +28,7 @@
   metrics.datagrams_sent = counts.sent;
   metrics.bytes_sent = counts.bytes_sent;
   metrics.name_conflicts = counts.name_conflicts;
-  metrics.held_back = counts.held_back + peers.held_back();
+  metrics.throttled = counts.throttled + peers.throttled();
   return metrics;
 }
 
--- a/src/net/gateway/peer_datagrams.h
+++ b/src/net/gateway/peer_datagrams.h
@@ -32,7 +32,7 @@
   // The address of a peer in the membership view, as text.
   [[nodiscard]] std::string AddressOf(std::uint64_t peer) const;
   void SetRate(double datagrams_per_second) { budget_.SetRate(datagrams_per_second); }
-  [[nodiscard]] std::uint64_t held_back() const { return budget_.held_back(); }
+  [[nodiscard]] std::uint64_t throttled() const { return budget_.throttled(); }
 
  private:
   const config::Config& config_;
--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -106,11 +106,11 @@
   planner_.SetLimits(operators.idempotency, operators.membership);
   ++metrics_.config_reloads;
   Settings settings = config.settings;
-  const bool plans_kept = planner_.Reconfigure(settings);
-  if (plans_kept) settings.plans = config_.settings.plans;
+  const bool plans_unchanged = planner_.Reconfigure(settings);
+  if (plans_unchanged) settings.plans = config_.settings.plans;
   clients_.SetVocabulary(ToVocabulary(settings));
   const bool needs_restart =
-      plans_kept || NeedsRestart(config_, config) || NeedsRestart(operators_, operators);
+      plans_unchanged || NeedsRestart(config_, config) || NeedsRestart(operators_, operators);
   peers_.SetRate(config.settings.peer_messages_per_second);
   config_.settings = std::move(settings);
   config_.keys = config.keys;
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -1,4 +1,4 @@
-// The gateway: builds its parts, connects them, and takes what the process is told by signals.
+// The gateway: builds its parts, connects them, and handles what signals ask of the process.
 #ifndef POSTSPREAD_NET_GATEWAY_SERVER_H_
 #define POSTSPREAD_NET_GATEWAY_SERVER_H_
 
--- a/src/net/upstream/late_duplicate_detector.h
+++ b/src/net/upstream/late_duplicate_detector.h
@@ -1,5 +1,5 @@
-// Late duplicates: second copies of a response that some upstreams send. One that arrives some milliseconds
-// after the first copy, when the next request has been sent on the connection, can't be told from that
+// Late duplicates: further copies of a response that some upstreams send. One that arrives some milliseconds
+// after the first copy, once the next request is on the connection, can't be told from that
 // request's response. So for some time after a duplicate was seen, a connection rests before its reuse.
 #ifndef POSTSPREAD_NET_UPSTREAM_LATE_DUPLICATE_DETECTOR_H_
 #define POSTSPREAD_NET_UPSTREAM_LATE_DUPLICATE_DETECTOR_H_
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -311,13 +311,13 @@
 
 // Returns whether the value is streamed, or this is closed; else it is to be read as a whole.
 bool UpstreamConnection::BeginStream(const resp::LargeValue& large) {
-  const auto wanted = context_.listener.OnLargeValue({.request = attempt_.key.request,
-                                                      .attempt = attempt_.key.attempt,
-                                                      .upstream = upstream_.name,
-                                                      .result = AttemptResult::kSucceeded,
-                                                      .elapsed = attempt_.Elapsed()});
-  if (wanted == AttemptListener::Value::kWhole) return false;
-  if (wanted == AttemptListener::Value::kNone) {
+  const auto handling = context_.listener.OnLargeValue({.request = attempt_.key.request,
+                                                        .attempt = attempt_.key.attempt,
+                                                        .upstream = upstream_.name,
+                                                        .result = AttemptResult::kSucceeded,
+                                                        .elapsed = attempt_.Elapsed()});
+  if (handling == AttemptListener::Value::kWhole) return false;
+  if (handling == AttemptListener::Value::kNone) {
     Close(AttemptResult::kCancelled);
     return true;
   }
--- a/src/ops/metrics.cpp
+++ b/src/ops/metrics.cpp
@@ -48,9 +48,9 @@
 MetricFamily Labelled(const char* name, const char* help, MetricType type, const char* label,
                       const std::map<std::string, T>& values) {
   MetricFamily family = Family(name, help, type);
-  for (const auto& [word, value] : values) {
+  for (const auto& [label_value, value] : values) {
     ClientMetric& metric = family.metric.emplace_back();
-    metric.label.push_back({label, word});
+    metric.label.push_back({label, label_value});
     (type == MetricType::Gauge ? metric.gauge.value : metric.counter.value) = static_cast<double>(value);
   }
   return family;
@@ -81,7 +81,7 @@
       Counter("fleet_name_conflicts", "Signs of two processes under one name", membership.name_conflicts));
   out.push_back(Counter("fleet_datagrams_sent", "Datagrams of the view", membership.datagrams_sent));
   out.push_back(Counter("fleet_bytes_sent", "Their bytes", membership.bytes_sent));
-  out.push_back(Counter("fleet_held_back", "Datagrams not sent for want of budget", membership.held_back));
+  out.push_back(Counter("fleet_held_back", "Datagrams not sent for want of budget", membership.throttled));
 }
 
 }  // namespace
--- a/src/ops/metrics.h
+++ b/src/ops/metrics.h
@@ -81,7 +81,7 @@
   std::uint64_t datagrams_sent = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t name_conflicts = 0;
-  std::uint64_t held_back = 0;  // datagrams beyond the budget
+  std::uint64_t throttled = 0;  // datagrams beyond the budget
 };
 
 // What is sampled at a scrape.
--- a/src/planner/controller_adapter.cpp
+++ b/src/planner/controller_adapter.cpp
@@ -50,7 +50,7 @@
 
 void ControllerAdapter::On(const ClientDisconnected& report, TimePoint now) {
   attempts_.erase(report.request);
-  Handle(ClientGoneEvent{report.request}, now);
+  Handle(ClientDisconnectedEvent{report.request}, now);
 }
 
 void ControllerAdapter::RunTimers(TimePoint now) {
--- a/src/planner/event_translation.cpp
+++ b/src/planner/event_translation.cpp
@@ -52,9 +52,9 @@
     case UpstreamState::kDraining:
       return ServerState::kDraining;
     case UpstreamState::kRemoved:
-      return ServerState::kGone;
+      return ServerState::kRemoved;
   }
-  return ServerState::kGone;
+  return ServerState::kRemoved;
 }
 
 EndpointListKind ToListKind(EndpointUpdateKind kind) {
--- a/src/planner/idempotency_adapter.cpp
+++ b/src/planner/idempotency_adapter.cpp
@@ -20,7 +20,7 @@
     case idempotency::FailureReason::kFingerprintMismatch:
       return FailureReason::kOtherKey;
     case idempotency::FailureReason::kAnswerDropped:
-      return FailureReason::kAnswerGone;
+      return FailureReason::kAnswerDropped;
   }
   return FailureReason::kFailed;
 }
@@ -120,7 +120,7 @@
 }
 
 std::optional<idempotency::KeyedRequest> IdempotencyAdapter::ToAsk(const Request& request, RequestId id,
-                                                          TimePoint now) const {
+                                                                   TimePoint now) const {
   if (request.key.empty()) return std::nullopt;
   const std::optional<std::size_t> class_index = FindIndex(settings_.classes, request.class_name);
   const std::optional<std::size_t> plan_index = FindIndex(settings_.plans, request.plan);
--- a/src/planner/idempotency_adapter.h
+++ b/src/planner/idempotency_adapter.h
@@ -61,7 +61,7 @@
   };
 
   [[nodiscard]] std::optional<idempotency::KeyedRequest> ToAsk(const Request& request, RequestId id,
-                                                      TimePoint now) const;
+                                                               TimePoint now) const;
   [[nodiscard]] RequestEvent ToEvent(const idempotency::Work& work, RequestId id, Duration time_left) const;
   [[nodiscard]] KeyPin ToKeyPin(const idempotency::StickyPlacement& placement) const;
   void RefreshGroups(TimePoint now);
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -55,7 +55,7 @@
     RequestId number = 0;
     Actions actions;
   };
-  // A request has arrived; it is owed one final response: a value, a rejection or a failure.
+  // A request has arrived; it gets exactly one final response: a value, a rejection or a failure.
   PickResult Pick(const Request& request, Clock::time_point now);
 
   // The process shuts down: membership announces it.
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -13,7 +13,7 @@
 
 void StartTimes::Apply(EndpointListReport& report, Time now) {
   if (report.kind != EndpointUpdateKind::kChanges) {
-    for (auto& [name, start] : starts_) start.is_listed = false;
+    for (auto& [name, start] : starts_) start.is_in_list = false;
   }
   for (Upstream& upstream : report.upstreams) {
     const auto [found, is_new] = starts_.try_emplace(upstream.name);
@@ -22,7 +22,7 @@
       start.reported = upstream.started;
       start.estimate = Estimate(upstream.started, now);
     }
-    start.is_listed = upstream.state != UpstreamState::kRemoved;
+    start.is_in_list = upstream.state != UpstreamState::kRemoved;
     upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
   // A persisted list does not say when it was in force.
@@ -40,7 +40,7 @@
 // Seldom, so that the cost of a list of changes depends on its own size and not on that of the whole list.
 void StartTimes::EvictUnlisted() {
   if (starts_.size() < eviction_threshold_) return;
-  std::erase_if(starts_, [](const auto& entry) { return !entry.second.is_listed; });
+  std::erase_if(starts_, [](const auto& entry) { return !entry.second.is_in_list; });
   eviction_threshold_ = 2 * starts_.size() + kMaxUnlisted;
 }
 
--- a/src/planner/start_times.h
+++ b/src/planner/start_times.h
@@ -27,7 +27,7 @@
   struct Start {
     std::chrono::milliseconds reported{0};
     Time estimate{0};
-    bool is_listed = false;
+    bool is_in_list = false;
   };
 
   // Upstreams that are remembered although they are not listed any more, as they may be listed again.
--- a/src/planner/subsetting_adapter.cpp
+++ b/src/planner/subsetting_adapter.cpp
@@ -27,8 +27,10 @@
         {name, upstream.zone, upstream.cell, upstream.weight, upstream.state == UpstreamState::kReady});
   }
   std::unordered_set<std::string> selected;
-  for (const subsetting::Assignment& assignment :
-       subsetting::Subset(limits_, position, settings_.zone, BindsKeysToGroups(settings_) ? subsetting::Grouping::kByCell : subsetting::Grouping::kSingle, nodes)) {
+  for (const subsetting::Assignment& assignment : subsetting::Subset(
+           limits_, position, settings_.zone,
+           BindsKeysToGroups(settings_) ? subsetting::Grouping::kByCell : subsetting::Grouping::kSingle,
+           nodes)) {
     selected.insert(nodes[assignment.upstream].name);
   }
   return selected;
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -37,9 +37,9 @@
 
 enum class FailureReason {
   kFailed,
-  kUnknown,     // an earlier request with the same key may have been executed
-  kOtherKey,    // the key belongs to another request
-  kAnswerGone,  // an earlier request with the same key was executed; its response is no longer cached
+  kUnknown,        // an earlier request with the same key may have been executed
+  kOtherKey,       // the key belongs to another request
+  kAnswerDropped,  // an earlier request with the same key was executed; its response is no longer cached
 };
 
 // Final response: the request may have been executed.
--- a/src/planner/upstream_groups.cpp
+++ b/src/planner/upstream_groups.cpp
@@ -13,17 +13,17 @@
   counted_at_ = now;
   zones_.clear();
   std::map<std::int64_t, std::size_t> ready;
-  std::map<std::int64_t, std::size_t> warm;
+  std::map<std::int64_t, std::size_t> warmed_up;
   for (const auto& [name, upstream] : upstreams_.by_name()) {
     zones_.emplace(upstream.cell, upstream.zone);
     ready.try_emplace(upstream.cell, 0);
     if (upstream.state != UpstreamState::kReady) continue;
     ++ready[upstream.cell];
-    if (now - upstream.started >= settings_.slow_start_duration) ++warm[upstream.cell];
+    if (now - upstream.started >= settings_.slow_start_duration) ++warmed_up[upstream.cell];
   }
   // Keys are bound to warmed-up groups: one in slow start would have to reject most of their requests.
   std::vector<idempotency::UpstreamGroup> groups;
-  for (const auto& [group, count] : warm.empty() ? ready : warm) groups.push_back({group, count});
+  for (const auto& [group, count] : warmed_up.empty() ? ready : warmed_up) groups.push_back({group, count});
   return groups;
 }
 
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -43,7 +43,7 @@
   void OnEvent(const RequestEvent& event);
   void OnEvent(const OutcomeEvent& event);
   void OnEvent(const StreamStartedEvent& event);
-  void OnEvent(const ClientGoneEvent& event);
+  void OnEvent(const ClientDisconnectedEvent& event);
   void OnEvent(const TimerEvent& event);
   void OnEvent(const CounterEvent& event);
   void OnEvent(const ProbeEvent& /*event*/) {}        // no probes are sent
@@ -283,7 +283,7 @@
   if (!request.HasOpenAttempt()) context_.RemoveRequest(request.id);
 }
 
-void Controller::Impl::OnEvent(const ClientGoneEvent& event) {
+void Controller::Impl::OnEvent(const ClientDisconnectedEvent& event) {
   if (RequestState* request = context_.FindRequest(event.id)) Finish(*request);
 }
 
--- a/src/policy/quota_counter.cpp
+++ b/src/policy/quota_counter.cpp
@@ -127,7 +127,7 @@
   if (plan.rate <= 0 || !context_.settings().has_counter || counter_.call_fraction() < 1) return;
   const TimePoint now = context_.now();
   const bool sub_request = HasSubRequestSlice(customer);
-  // Where slices are below a request it is told only if that makes capacity.
+  // Where slices are below a request it is sent only if that makes capacity.
   if (sub_request && !customer.account.HasCapacityInPeriod(plan, now)) return;
   const bool any_unit = sub_request || customer.account.has_uncounted();
   const double least =
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -14,7 +14,7 @@
   if (since.count() <= 0 || settings.slow_start_duration.count() <= 0) return 1.0;
   const double progress =
       std::clamp(FloatSeconds(now - since) / FloatSeconds(settings.slow_start_duration), 0.0, 1.0);
-  return settings.cold_capacity + (1 - settings.cold_capacity) * progress;
+  return settings.initial_capacity + (1 - settings.initial_capacity) * progress;
 }
 
 }  // namespace postspread::policy
--- a/src/policy/upstream_set.cpp
+++ b/src/policy/upstream_set.cpp
@@ -17,7 +17,7 @@
       upstream = Upstream{.in_flight = upstream.in_flight, .waiting_since = context_.now()};
     }
     upstream.info = info;
-    upstream.in_endpoint_list = info.state != ServerState::kGone;
+    upstream.in_endpoint_list = info.state != ServerState::kRemoved;
   }
   Refresh();
 }
@@ -44,7 +44,7 @@
   Controller::UpstreamCounts counts;
   for (const auto& [id, upstream] : upstreams_) {
     if (!upstream.in_endpoint_list) continue;
-    ++counts.listed;
+    ++counts.total;
     if (upstream.IsAvoided(now)) ++counts.avoided;
   }
   return counts;
--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -255,12 +255,12 @@
 void DecodeErrorTail(std::string_view line, ReportedUsage& use, UpstreamLoad& load) {
   Next(line, ' ');
   while (!line.empty()) {
-    const std::string_view word = Next(line, ' ');
-    const ReportedUsage told = DecodeUse(word);
-    if (told.percent >= 0) use.percent = told.percent;
-    if (told.units > 0) use.units = told.units;
-    use.unreadable |= told.unreadable;
-    if (line.empty()) load = DecodeLoad(word);  // it stands last
+    const std::string_view item = Next(line, ' ');
+    const ReportedUsage reported = DecodeUse(item);
+    if (reported.percent >= 0) use.percent = reported.percent;
+    if (reported.units > 0) use.units = reported.units;
+    use.unreadable |= reported.unreadable;
+    if (line.empty()) load = DecodeLoad(item);  // it stands last
   }
 }
 
--- a/src/resp/request.h
+++ b/src/resp/request.h
@@ -34,7 +34,7 @@
   // `extras` and `patience` are slices of `message`; `patience` holds the digits of d.
   EncodedRequest(std::string_view message, std::string_view extras, std::string_view timeout);
 
-  // Appends the command up to and with `wait` in the place of the time that it told; the tail follows.
+  // Appends the command up to and with `wait` in the place of the time that it named; the tail follows.
   void RenderHead(std::chrono::milliseconds wait, std::string& out) const;
   [[nodiscard]] std::string_view tail() const;
   // Holds what tail() shows.
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -22,7 +22,7 @@
   out.state = EnumOr(from, "Availability", ServerState::kUp,
                      {{"in_service", ServerState::kUp},
                       {"terminating", ServerState::kDraining},
-                      {"terminated", ServerState::kGone}});
+                      {"terminated", ServerState::kRemoved}});
   out.weight = NumberOr(from, "Size", 1);
   out.started = TimePoint(IntegerOr(from, "OnlineSince", 0));
   return out;
@@ -235,7 +235,7 @@
     {"Response", [](const json& from) -> Event { return DecodeOutcomeEvent(from); }},
     {"Wakeup", [](const json& from) -> Event { return DecodeTimer(from); }},
     {"LedgerReply", [](const json& from) -> Event { return DecodeCounter(from); }},
-    {"CancelledByClient", [](const json& from) -> Event { return ClientGoneEvent{DecodeId(from)}; }},
+    {"CancelledByClient", [](const json& from) -> Event { return ClientDisconnectedEvent{DecodeId(from)}; }},
     {"HeadReceived", [](const json& from) -> Event { return DecodeStreamStarted(from); }},
     {"Checked", [](const json& from) -> Event { return DecodeProbe(from); }},
     {"Mail", [](const json& from) -> Event { return DecodePeerMessage(from); }},
--- a/src/subsetting/subset.cpp
+++ b/src/subsetting/subset.cpp
@@ -13,7 +13,7 @@
 // If that many times the required upstreams would exceed those that are ready, all are used: a subset of few
 // saves nothing.
 constexpr double kUseAllFactor = 1.5;
-constexpr double kLeastShare = 1e-9;  // what is below is a rounding error
+constexpr double kMinFraction = 1e-9;  // what is below is a rounding error
 
 std::uint64_t Digest(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
@@ -80,8 +80,8 @@
   return std::ceil(gateways * static_cast<double>(required) / all) / gateways;
 }
 
-void Assign(const Group& group, double share, std::vector<Assignment>& out) {
-  for (const std::size_t upstream : group.upstreams) out.push_back({upstream, share});
+void Assign(const Group& group, double fraction, std::vector<Assignment>& out) {
+  for (const std::size_t upstream : group.upstreams) out.push_back({upstream, fraction});
 }
 
 // Adds the groups that the gateway's arc covers.
@@ -105,8 +105,8 @@
     // The arc may extend past the ring's end.
     const double covered = std::max(0.0, std::min(end, to) - std::max(begin, from)) +
                            std::max(0.0, std::min(end, to + 1) - std::max(begin, from + 1));
-    const double share = covered / (to - from);
-    if (share >= kLeastShare) Assign(group, std::min(1.0, share), out);
+    const double fraction = covered / (to - from);
+    if (fraction >= kMinFraction) Assign(group, std::min(1.0, fraction), out);
   }
 }
 
--- a/src/subsetting/subset.h
+++ b/src/subsetting/subset.h
@@ -56,7 +56,7 @@
 
 struct Assignment {
   std::size_t upstream = 0;  // index in the list handed in
-  double share = 1;          // of it that the gateway's arc covers
+  double fraction = 1;       // of it that the gateway's arc covers
 };
 
 // The upstreams that the gateway uses.
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -34,10 +34,11 @@
   CHECK(sealed(ClaimRecord{key, 5, 6, 7, 1, -8, 15'000}) ==
         "50534b0202004d00000000000000f69a75f600efcdab89674523011032547698badcfe050000000000000006"
         "0000000700000001f8ffffffffffffff983a0000");
-  CHECK(sealed(VoteRecord{.key = key, .round = 9, .kind = VoteKind::kGrantedRecovering, .reference_round = 3}) ==
-        "50534b0202004d00000000000000e13cfe2101efcdab89674523011032547698badcfe090000000103000000");
   CHECK(sealed(
-            VoteRecord{key, 9, VoteKind::kAlreadyClaimed, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown, 1, 44, 99}) ==
+            VoteRecord{.key = key, .round = 9, .kind = VoteKind::kGrantedRecovering, .reference_round = 3}) ==
+        "50534b0202004d00000000000000e13cfe2101efcdab89674523011032547698badcfe090000000103000000");
+  CHECK(sealed(VoteRecord{key, 9, VoteKind::kAlreadyClaimed, 3, 2, 1'700'000'000'000'000ULL, Phase::kUnknown,
+                          1, 44, 99}) ==
         "50534b0202004d00000000000000449d9dee01efcdab89674523011032547698badcfe090000000203000000"
         "020000401e18240a060003012c0000000000000063000000");
   CHECK(sealed(OutcomeRecord{key, 10, 1, Phase::kAnsweredNoValue, 11}) ==
--- a/tests/flow/datagram_budget_test.cpp
+++ b/tests/flow/datagram_budget_test.cpp
@@ -22,7 +22,7 @@
   CHECK(take(DatagramKind::kIdempotency) == 6);
   CHECK(take(DatagramKind::kMembership) == 10);
   CHECK_FALSE(budget.Take(DatagramKind::kMembership, 1, now));
-  CHECK(budget.held_back() > 0);
+  CHECK(budget.throttled() > 0);
   // A second of floods: no more than the rate, whatever the kinds.
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/operator/operator_file_test.cpp
@@ -1,12 +1,12 @@
 // The operator file: defaults, what is read, and faults that name file, line and key.
+#include "operator/operator_file.h"
+
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <sstream>
 #include <string>
 #include <utility>
 
-#include "operator/operator_file.h"
-
 namespace postspread::operator_file {
 namespace {
 
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -120,7 +120,7 @@
 // is `skew` ahead.
 int CountSentToRestarted(microseconds skew) {
   Settings settings = TestSettings();
-  settings.cold_capacity = 0.1;
+  settings.initial_capacity = 0.1;
   settings.slow_start_duration = seconds(60);
   settings.overload_multiple = 2;
   settings.overload_window = seconds(2);
--- a/tests/policy/borrowed_units_test.cpp
+++ b/tests/policy/borrowed_units_test.cpp
@@ -47,7 +47,7 @@
     gateway.AddRequest(1, 4);
     gateway.ReplyToCall(13);
     if (gateway.counter_calls.size() < 2) continue;
-    gateway.Handle(ClientGoneEvent{1});
+    gateway.Handle(ClientDisconnectedEvent{1});
     gateway.ReplyToCall(4);
     gateway.AddRequest(2, 1);
     ASSERT_EQ(gateway.counter_calls[2].name, gateway.counter_calls[0].name);
@@ -66,7 +66,7 @@
       if (borrows != (gateway.counter_calls.size() == 2)) continue;
       if (borrows) gateway.ReplyToCall(4);
       ASSERT_TRUE(gateway.rejects.empty());
-      gateway.Handle(ClientGoneEvent{1});
+      gateway.Handle(ClientDisconnectedEvent{1});
       gateway.AddRequest(2, 1);
       gateway.Advance(borrows ? milliseconds(600) : milliseconds(1));
       gateway.AddRequest(3, 1);
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -94,7 +94,7 @@
   TestGateway gateway;
   gateway.Handle(OutcomeEvent{});
   gateway.Handle(TimerEvent{99});
-  gateway.Handle(ClientGoneEvent{5});
+  gateway.Handle(ClientDisconnectedEvent{5});
   gateway.Handle(CounterEvent{"nobody", CounterResult::kOk, 3, Duration(1)});
   gateway.Handle(EndpointListEvent{EndpointListKind::kError, 1, nullptr});
   RequestEvent event;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -19,7 +19,7 @@
   EXPECT_EQ(gateway.controller().Count(gateway.now).avoided, 1U);
   EXPECT_EQ(gateway.controller().Count(gateway.now + seconds(2)).avoided, 0U);
   gateway.SetServers({{"s1", "a"}, {"s2", "b"}}, ServerState::kDraining);
-  EXPECT_EQ(gateway.controller().Count(gateway.now).listed, 2U);
+  EXPECT_EQ(gateway.controller().Count(gateway.now).total, 2U);
   EXPECT_EQ(gateway.controller().Count(gateway.now).avoided, 2U);
 }
 
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -67,7 +67,7 @@
   settings.group_size = gateways;
   settings.has_counter = false;
   settings.overload_multiple = rule.multiple;
-  settings.cold_capacity = rule.capacity_at_start;
+  settings.initial_capacity = rule.capacity_at_start;
   settings.overload_window = rule.window;
   settings.slow_start_duration = rule.slow_start;
   return settings;
--- a/tests/policy/test_gateway.cpp
+++ b/tests/policy/test_gateway.cpp
@@ -43,7 +43,7 @@
   settings.retry_after = true;
   settings.max_retry_after = seconds(5);
   settings.slow_start_duration = seconds(10);
-  settings.cold_capacity = 0.2;
+  settings.initial_capacity = 0.2;
   return settings;
 }
 
--- a/tests/subsetting/subset_test.cpp
+++ b/tests/subsetting/subset_test.cpp
@@ -65,9 +65,9 @@
         Subset(limits, RingPositionOf(members[i], views[i]), zone, Grouping::kSingle, upstreams);
     double all = 0;
     for (const Assignment& assignment : assignments)
-      all += assignment.share * upstreams[assignment.upstream].weight;
+      all += assignment.fraction * upstreams[assignment.upstream].weight;
     for (const Assignment& assignment : assignments) {
-      out.load[assignment.upstream] += assignment.share * upstreams[assignment.upstream].weight / all;
+      out.load[assignment.upstream] += assignment.fraction * upstreams[assignment.upstream].weight / all;
       out.connections[assignment.upstream] += 1;
     }
   }
