--- a/bench/gateway_group.h
+++ b/bench/gateway_group.h
@@ -117,7 +117,7 @@
       for (std::string line; std::getline(file, line);) {
         if (line.find("postspread: started") == 0) close();
         const std::size_t at = line.find(" " + figure + "=");
-        if (line.find("postspread: keys:") == 0 && at != std::string::npos) {
+        if (line.find("postspread: idempotency store:") == 0 && at != std::string::npos) {
           last = std::stod(line.substr(at + figure.size() + 2));
         }
       }
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -394,7 +394,7 @@
       }
     }
     for (int i = 0; i < size(); ++i) {
-      if (rig_.Logged(i, "\"rule broken\"")) {
+      if (rig_.Logged(i, "\"rule violated\"")) {
         oracle_.Broken("the program counts no violation of its own", "in the log of gk-" + std::to_string(i));
       }
     }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -100,7 +100,9 @@
   if (!from.is_object()) return;
   for (const auto& [key, value] : from.items()) {
     if (value.is_null()) continue;
-    const std::string full_name = path.empty() ? key : path + "." + key;
+    std::string full_name = path;
+    if (!path.empty()) full_name += '.';
+    full_name += key;
     out.push_back(full_name);
     if (full_name != "known") CollectKeys(value, full_name, out);
   }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -137,12 +137,12 @@
     const operator_file::OperatorFile operators = ReadOperatorFile(program.options);
     CheckConsistency(config, operators);
     const net::ReloadResult result = program.gateway->Reload(config, operators);
-    net::Log("configuration read again", DescribeAddresses(config));
+    net::Log("configuration reloaded", DescribeAddresses(config));
     if (result == net::ReloadResult::kNeedsRestart)
-      net::Log("configuration changed beyond that", "the rest holds from the next start on");
+      net::Log("configuration needs a restart", "the rest applies from the next start on");
   } catch (const std::exception& error) {
     program.gateway->ReloadFailed();
-    net::Log("new configuration is wrong, the old one stays", error.what());
+    net::Log("configuration rejected, the old one stays", error.what());
   }
 }
 
@@ -179,7 +179,7 @@
 int Check(const Options& options) {
   const config::Config config = config::Load(ReadVariable);
   CheckConsistency(config, ReadOperatorFile(options));
-  net::Log("configuration is sound", config.name + " on " + config.listen.text());
+  net::Log("configuration is valid", config.name + " on " + config.listen.text());
   return EXIT_SUCCESS;
 }
 
@@ -204,13 +204,13 @@
   try {
     return options.check_only ? Check(options) : Serve(options);
   } catch (const config::ConfigError& error) {
-    net::Log("configuration is wrong", error.what());
+    net::Log("configuration is invalid", error.what());
     return kExitConfig;
   } catch (const operator_file::OperatorError& error) {
-    net::Log("configuration is wrong", error.what());
+    net::Log("configuration is invalid", error.what());
     return kExitConfig;
   } catch (const std::exception& error) {
-    net::Log("can't go on", error.what());
+    net::Log("fatal error", error.what());
     return kExitFailure;
   }
 }
--- a/src/membership/update_merger.cpp
+++ b/src/membership/update_merger.cpp
@@ -104,7 +104,7 @@
     return;
   }
   if (succession_ == Succession::kAllowed) {
-    if (!table_.superseded()) events_.Log("a later process has taken over the view of the fleet", now);
+    if (!table_.superseded()) events_.Log("a later process has taken over in the membership view", now);
     table_.SetSuperseded();
     return;
   }
--- a/src/net/gateway/admin_service.cpp
+++ b/src/net/gateway/admin_service.cpp
@@ -32,7 +32,7 @@
   const bool begins = !collaborators_.service_state.lifecycle().draining();
   const ops::AdminResult result = collaborators_.service_state.Drain();
   if (result == ops::AdminResult::kDone && begins) {
-    Log("drained", "by an operator's call");
+    Log("drain started", "by an operator's call");
     collaborators_.clients.StartDraining(ops::kOperatorDrain, ops::CloseReason::kDrained);
   }
   return result;
@@ -42,7 +42,7 @@
   const bool ends = collaborators_.service_state.lifecycle().draining();
   const ops::AdminResult result = collaborators_.service_state.Activate();
   if (result == ops::AdminResult::kDone && ends) {
-    Log("active again", "by an operator's call");
+    Log("drain cancelled", "by an operator's call");
     collaborators_.clients.StopDraining();
   }
   return result;
--- a/src/net/gateway/graceful_shutdown.cpp
+++ b/src/net/gateway/graceful_shutdown.cpp
@@ -27,7 +27,7 @@
 void GracefulShutdown::Start() {
   if (collaborators_.service_state.lifecycle().stopping()) return;
   collaborators_.service_state.Stop();
-  Log("draining", "told to stop");
+  Log("draining", "shutdown requested");
   collaborators_.driver.Execute(collaborators_.planner.Leave(Clock::now()));
   if (listen_socket_ == ListenSocket::kOwned) return timer_.Arm(kKeepServing);
   collaborators_.accept_gate.Cancel();
@@ -58,7 +58,7 @@
   for (std::size_t i = 0; i < safety::kRules; ++i) {
     const std::uint64_t count = rules.violated[i];
     if (count == 0) continue;
-    Log("rule broken", std::string(Name(safety::Rule(i))) + ", " + std::to_string(count) + " times");
+    Log("rule violated", std::string(Name(safety::Rule(i))) + ", " + std::to_string(count) + " times");
   }
   event_base_loopbreak(base_);
 }
--- a/src/net/gateway/idempotency_log.cpp
+++ b/src/net/gateway/idempotency_log.cpp
@@ -24,7 +24,7 @@
   timer_.Arm(kInterval);
   const idempotency::Counts& counts = replica->counts();
   if (counts == logged_) return;
-  Log("keys",
+  Log("idempotency store",
       idempotency::Summary(counts, replica->size(), replica->used(), replica->peak(), replica->bound()));
   logged_ = counts;
 }
--- a/tests/fleet/habits_test.cpp
+++ b/tests/fleet/habits_test.cpp
@@ -47,7 +47,7 @@
   const auto stopped = site.Play([&] { site.rig.Terminate(0); });
   site.EndOrKill(stopped);
   CHECK(site.rig.broken().empty());
-  CHECK_FALSE(site.rig.Logged(0, "rule broken"));
+  CHECK_FALSE(site.rig.Logged(0, "rule violated"));
   site.CheckAnswered();
 }
 
@@ -106,7 +106,7 @@
   });
   site.RunUntil(ended + kMayKill);
   CHECK(site.rig.broken().empty());
-  CHECK_FALSE(site.rig.Logged(0, "rule broken"));
+  CHECK_FALSE(site.rig.Logged(0, "rule violated"));
   site.CheckAnswered();
 }
 
--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -167,11 +167,11 @@
   rig.WriteOperators(options);
   for (const int i : {0, 1}) rig.Reload(i);
   HOLDS(rig, rig.AllAgree(), 5);  // of the former periods: with the former suspicion it would take thirty
-  CHECK_FALSE(rig.Logged(0, "configuration changed beyond that"));
+  CHECK_FALSE(rig.Logged(0, "configuration needs a restart"));
   options.view = false;
   rig.WriteOperators(options);
   rig.Reload(0);
-  HOLDS(rig, rig.Logged(0, "configuration changed beyond that"), 5);
+  HOLDS(rig, rig.Logged(0, "configuration needs a restart"), 5);
   CHECK(rig.Agree({0, 1}));
   Sound(rig);
 }
--- a/tests/fleet/rig_observer.cpp
+++ b/tests/fleet/rig_observer.cpp
@@ -240,7 +240,7 @@
   }
   std::stable_sort(lines.begin(), lines.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [time, line] : lines) out += time + " " + line + "\n";
+  for (const auto& [time, line] : lines) out.append(time).append(" ").append(line).append("\n");
   return out;
 }
 
--- a/tests/idempotency/process_test.cpp
+++ b/tests/idempotency/process_test.cpp
@@ -176,13 +176,13 @@
   site.WaitUntilReady();
   site.WriteOperators("idempotency { enabled = true\n max_waiters = 2 }\n");
   site.Reload(json::object());
-  site.Logged("configuration read again");
+  site.Logged("configuration reloaded");
   Peer third = site.Client();
   third.Send(WriteCommand("three", "k1"));
   CHECK(third.Line().find("-BUSY") == 0);
   site.WriteOperators("idempotency { keep = soon }\n");
   site.Reload(json::object());
-  site.Logged("new configuration is wrong, the old one stays: ");
+  site.Logged("configuration rejected, the old one stays: ");
   site.Logged(":1: idempotency.keep is \"soon\"");
   site.WriteOperators("idempotency { enabled = true\n keep = 10s }\n");
   site.Reload(json::object());
@@ -198,7 +198,7 @@
 TEST_CASE("an invalid operator file ends the program with status 2 and an error that names line and key") {
   Site site(1, KeyedWrites(), false, "idempotency {\n keep = 5 }\n");
   CHECK(site.Wait() == 2);
-  site.Logged("configuration is wrong: ");
+  site.Logged("configuration is invalid: ");
   site.Logged(":2: idempotency.keep is \"5\": a whole number with its unit is wanted");
 }
 
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -80,7 +80,7 @@
   site.Logged("draining");
   site.Terminate();
   site.Reload(json::object());
-  site.Logged("configuration read again");
+  site.Logged("configuration reloaded");
   CHECK(site.Wait() == 0);
 }
 
@@ -97,7 +97,7 @@
   Peer upstream = site.upstream(0).Accept();
   CHECK(upstream.Command().at(2) == "half");
   site.Reload(json::object());  // a SIGHUP during the shutdown changes nothing
-  site.Logged("configuration read again");
+  site.Logged("configuration reloaded");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(client.Ended());
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -49,7 +49,7 @@
   CHECK(site.Metric("svc_upstream_requests") == 2);
   CHECK(site.Metric("svc_pending") == 0);
   site.Reload({{"settings", nullptr}});
-  site.Logged("new configuration is wrong");
+  site.Logged("configuration rejected");
   CHECK(site.Metric("svc_config_reloads") == 0);
   CHECK(site.Metric("svc_config_reload_errors") == 1);
 }
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -414,7 +414,7 @@
   site.calls().Command();
   Port discovery, counter;
   site.Reload({{"discovery", discovery.address()}, {"counter", counter.address()}});
-  site.Logged("configuration read again: discovery " + discovery.address());
+  site.Logged("configuration reloaded: discovery " + discovery.address());
   Peer watch = discovery.Accept();
   CHECK(watch.Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
   CHECK(site.watch().Ended());
