--- a/src/resp/frame.cpp
+++ b/src/resp/frame.cpp
@@ -70,6 +70,24 @@
   return Progress::kBroken;
 }
 
+// The next argument of a command: a bulk string. The body alone may be large.
+Progress ParseArgument(Cursor& cursor, std::string_view bytes, Command& out) {
+  if (cursor.at() < bytes.size() && bytes[cursor.at()] != '$') return Broken(out, "expected a bulk string");
+  std::string_view line;
+  Progress progress = cursor.Line(kMaxNumber, line);
+  if (progress == Progress::kBroken) return Broken(out, "invalid bulk length");
+  if (progress == Progress::kPartial) return progress;
+  const std::optional<long> size = ToLength(line.substr(1));
+  if (!size || *size < 0) return Broken(out, "invalid bulk length");
+  const bool is_body = out.count == kBodyAt;
+  if (*size > static_cast<long>(is_body ? kMaxValue : kMaxWhole)) return Broken(out, "argument too long");
+  if (cursor.at() + (is_body ? 0 : static_cast<std::size_t>(*size)) > kMaxHead) {
+    return Broken(out, "command too long");
+  }
+  progress = cursor.Value(static_cast<std::size_t>(*size), out.parts[out.count]);
+  return progress == Progress::kBroken ? Broken(out, "bulk string without its end") : progress;
+}
+
 // One part of an array: a bulk string, null, or a simple value.
 Progress ParsePart(Cursor& cursor, std::size_t most, Reply::Part& part) {
   std::string_view line;
@@ -88,6 +106,32 @@
   return cursor.Value(static_cast<std::size_t>(*length), part.text);
 }
 
+// The value of a bulk string whose header has been read into `out.text`.
+Progress ParseBulkReply(Cursor& cursor, Reply& out) {
+  const std::optional<long> length = ToLength(out.text);
+  out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kBulk;
+  if (length == -1) return Progress::kWhole;
+  if (!length || *length < 0 || *length > static_cast<long>(kMaxWhole)) return Progress::kBroken;
+  return cursor.Value(static_cast<std::size_t>(*length), out.text);
+}
+
+// The parts of an array whose header has been read into `out.text`. The first alone may be large.
+Progress ParseArrayReply(Cursor& cursor, std::string_view bytes, Reply& out) {
+  const std::optional<long> length = ToLength(out.text);
+  out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kArray;
+  if (length == -1) return Progress::kWhole;
+  if (!length || *length < 0 || *length > static_cast<long>(kMaxParts)) return Progress::kBroken;
+  for (long i = 0; i < *length; ++i) {
+    const std::size_t begin = cursor.at();
+    out.parts[out.count] = {};
+    const Progress progress = ParsePart(cursor, i == 0 ? kMaxValue : kMaxWhole, out.parts[out.count]);
+    if (progress != Progress::kWhole) return progress;
+    if (i == 0) out.first_raw = bytes.substr(begin, cursor.at() - begin);
+    ++out.count;
+  }
+  return Progress::kWhole;
+}
+
 }  // namespace
 
 std::string_view Command::message() const { return {begin, size}; }
@@ -112,25 +156,9 @@
   if (!length || *length < 0) return Broken(out, "invalid array length");
   if (*length > static_cast<long>(kMaxParts)) return Broken(out, "too many arguments");
   for (long i = 0; i < *length; ++i) {
-    if (cursor.at() < bytes.size() && bytes[cursor.at()] != '$') return Broken(out, "expected a bulk string");
-    progress = cursor.Line(kMaxNumber, line);
-    if (progress == Progress::kWhole) {
-      const std::optional<long> size = ToLength(line.substr(1));
-      if (!size || *size < 0) return Broken(out, "invalid bulk length");
-      const bool is_body = out.count == kBodyAt;
-      if (*size > static_cast<long>(is_body ? kMaxValue : kMaxWhole)) return Broken(out, "argument too long");
-      if (cursor.at() + (is_body ? 0 : static_cast<std::size_t>(*size)) > kMaxHead) {
-        return Broken(out, "command too long");
-      }
-      progress = cursor.Value(static_cast<std::size_t>(*size), out.parts[out.count]);
-    } else if (progress == Progress::kBroken) {
-      return Broken(out, "invalid bulk length");
-    }
-    if (progress == Progress::kBroken) return Broken(out, "bulk string without its end");
-    if (progress == Progress::kPartial) {
-      out.need = cursor.need();
-      return progress;
-    }
+    progress = ParseArgument(cursor, bytes, out);
+    if (progress == Progress::kPartial) out.need = cursor.need();
+    if (progress != Progress::kWhole) return progress;
     ++out.count;
   }
   out.size = cursor.at();
@@ -157,38 +185,23 @@
   switch (line[0]) {
     case '+':
       out.kind = Reply::Kind::kSimple;
-      return finish(Progress::kWhole);
+      break;
     case '-':
       out.kind = Reply::Kind::kError;
-      return finish(Progress::kWhole);
+      break;
     case ':':
       out.kind = Reply::Kind::kInteger;
-      return finish(Progress::kWhole);
-    case '$': {
-      const std::optional<long> length = ToLength(out.text);
-      out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kBulk;
-      if (length == -1) return finish(Progress::kWhole);
-      if (!length || *length < 0 || *length > static_cast<long>(kMaxWhole)) return Progress::kBroken;
-      return finish(cursor.Value(static_cast<std::size_t>(*length), out.text));
-    }
-    case '*': {
-      const std::optional<long> length = ToLength(out.text);
-      out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kArray;
-      if (length == -1) return finish(Progress::kWhole);
-      if (!length || *length < 0 || *length > static_cast<long>(kMaxParts)) return Progress::kBroken;
-      for (long i = 0; i < *length; ++i) {
-        const std::size_t begin = cursor.at();
-        out.parts[out.count] = {};
-        progress = ParsePart(cursor, i == 0 ? kMaxValue : kMaxWhole, out.parts[out.count]);
-        if (progress != Progress::kWhole) return finish(progress);
-        if (i == 0) out.first_raw = bytes.substr(begin, cursor.at() - begin);
-        ++out.count;
-      }
-      return finish(Progress::kWhole);
-    }
+      break;
+    case '$':
+      progress = ParseBulkReply(cursor, out);
+      break;
+    case '*':
+      progress = ParseArrayReply(cursor, bytes, out);
+      break;
     default:
       return Progress::kBroken;
   }
+  return progress == Progress::kBroken ? progress : finish(progress);
 }
 
 bool BeginsLarge(std::string_view bytes, LargeValue& out) {
--- a/src/usage/usage_table.cpp
+++ b/src/usage/usage_table.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <cstdlib>
 
+#include "statistics/random.h"
+
 namespace postspread::usage {
 namespace {
 
@@ -30,14 +32,6 @@
 
 double FromLevel(std::uint8_t level) { return std::exp2((level - kLevelOfOne) / kLevelsPerDoubling); }
 
-// The mixing function of splitmix64.
-std::uint64_t Mix(std::uint64_t value) {
-  value += 0x9e3779b97f4a7c15ULL;
-  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
-  return value ^ (value >> 31);
-}
-
 void PutDigest(CustomerDigest customer, std::string& out) {
   for (std::size_t i = 0; i < kDigestBytes; ++i) out += static_cast<char>(customer >> (8 * i) & 0xff);
 }
@@ -54,7 +48,7 @@
   if (options.datagrams_per_s <= 0 || options.group_size < 2) return;
   datagrams_per_s_ = options.datagrams_per_s;
   SetGroup(options.group_size);
-  const std::uint64_t phase = Mix(options.seed) % static_cast<std::uint64_t>(interval_.count());
+  const std::uint64_t phase = statistics::Mix(options.seed) % static_cast<std::uint64_t>(interval_.count());
   next_turn_ = now + Duration(static_cast<std::int64_t>(phase));
 }
 
