--- a/tests/flow/byte_budget_test.cpp
+++ b/tests/flow/byte_budget_test.cpp
@@ -18,7 +18,7 @@
   }
 };
 
-TEST_CASE("first come, first served in the line; small reservations pass it") {
+TEST_CASE("first come, first served in the line, and small reservations pass it") {
   ByteBudget budget(100);
   Client a;
   Client b;
--- a/tests/flow/eviction_test.cpp
+++ b/tests/flow/eviction_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("the order of eviction; a connection with a pending response is never evicted") {
+TEST_CASE("the order of eviction, and a connection with a pending response is never evicted") {
   const ConnectionState order[] = {
       {.is_delivered = true},
       {.has_partial = true, .since_command = milliseconds(2'200), .since_partial = milliseconds(2'100)},
