--- a/src/idempotency/counted_memory.h
+++ b/src/idempotency/counted_memory.h
@@ -1,4 +1,4 @@
-// A memory resource that counts what is taken from the heap through it.
+// A memory resource that counts the heap bytes allocated through it.
 #ifndef POSTSPREAD_IDEMPOTENCY_COUNTED_MEMORY_H_
 #define POSTSPREAD_IDEMPOTENCY_COUNTED_MEMORY_H_
 
@@ -9,12 +9,13 @@
 
 class CountedMemory final : public std::pmr::memory_resource {
  public:
-  // Bytes in use now and at most so far, the heap's own cost of each block included.
+  // Return the current and the maximum number of bytes in use, including the allocator's overhead of each
+  // block.
   [[nodiscard]] std::size_t used() const { return used_; }
   [[nodiscard]] std::size_t peak() const { return peak_; }
 
  private:
-  static constexpr std::size_t kBlockOverheadBytes = 16;  // at most, with glibc's allocator
+  static constexpr std::size_t kBlockOverheadBytes = 16;  // the maximum of glibc's allocator
 
   void* do_allocate(std::size_t bytes, std::size_t alignment) override;
   void do_deallocate(void* block, std::size_t bytes, std::size_t alignment) override;
--- a/src/idempotency/digest.cpp
+++ b/src/idempotency/digest.cpp
@@ -9,7 +9,7 @@
 namespace postspread::idempotency {
 namespace {
 
-// Seeds that keep the digests independent of each other; the key's own has none.
+// The seeds make the digests independent of each other; DigestKey uses no seed.
 constexpr XXH64_hash_t kRequestSeed = 0x706f7374;
 constexpr XXH64_hash_t kRendezvousSeed = 0x73707265;
 
--- a/src/idempotency/digest.h
+++ b/src/idempotency/digest.h
@@ -1,5 +1,5 @@
-// Digests of keys and requests by xxHash's XXH3. Strings are hashed with their lengths, so that no two
-// different lists of strings yield the same bytes.
+// Computes digests of keys and requests with xxHash's XXH3. Strings are hashed with their lengths, so that
+// two different lists of strings never give the same hash input.
 #ifndef POSTSPREAD_IDEMPOTENCY_DIGEST_H_
 #define POSTSPREAD_IDEMPOTENCY_DIGEST_H_
 
@@ -12,18 +12,18 @@
 
 KeyId DigestKey(std::string_view customer, std::string_view class_name, std::string_view key);
 
-// The fingerprint of everything that must be equal in a repeat. Independent of DigestKey, so that it also
-// tells apart two keys whose digests collide.
+// Returns the fingerprint of everything that must be equal in a repeat. It is independent of DigestKey, so
+// that it also distinguishes two keys whose digests collide.
 std::uint64_t DigestRequest(std::string_view customer, std::string_view class_name, std::string_view key,
                             double units, std::string_view body);
 
 std::uint32_t DigestCustomer(std::string_view customer);
 
-// The score of a candidate for a key by rendezvous hashing (Thaler and Ravishankar, 1998): the same on every
-// gateway; the candidate with the highest score is chosen.
+// Returns a candidate's score for a key by rendezvous hashing (Thaler and Ravishankar, 1998). The score is
+// the same on every gateway, and the candidate with the highest score is chosen.
 std::uint64_t RendezvousScore(const KeyId& key, std::uint64_t candidate);
 
-// Of a datagram.
+// Returns the checksum of a datagram's bytes.
 std::uint32_t Checksum(std::string_view bytes);
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/limits.h
+++ b/src/idempotency/limits.h
@@ -1,4 +1,4 @@
-// The limits of the idempotency store and its protocol that an operator may set.
+// The operator's settings for the idempotency store and its protocol.
 #ifndef POSTSPREAD_IDEMPOTENCY_LIMITS_H_
 #define POSTSPREAD_IDEMPOTENCY_LIMITS_H_
 
@@ -7,30 +7,30 @@
 
 namespace postspread::idempotency {
 
-// What becomes of a new key that the store has no capacity for.
+// What the gateway does with a new key for which the store has no capacity.
 enum class WhenFull {
-  kReject,            // with a retry-after
-  kStartUnprotected,  // without deduplication, and counted
+  kReject,            // rejects the request with a retry-after
+  kStartUnprotected,  // starts the request without deduplication and counts it
 };
 
-// What becomes of a new key that no gateway can confirm as new: this one started less than `keep` ago, and no
-// peer that has been up for longer could be asked.
+// What the gateway does with a new key that no gateway can confirm as new: this gateway started less than
+// `keep` ago, and no peer with a longer uptime could be queried.
 enum class WhenUnconfirmed {
-  kStartSticky,  // in the key's upstream group, which drops repeats
-  kReject,       // with a retry-after
+  kStartSticky,  // starts the request in the key's upstream group, which drops repeats
+  kReject,       // rejects the request with a retry-after
 };
 
 struct Limits {
   bool enabled = false;
-  std::size_t memory = 8 << 20;            // bytes of entries, answers and waiters together
-  std::chrono::milliseconds keep{60'000};  // how long a key is remembered after its request was sent
-  double customer_quota = 0.25;            // the fraction of `memory` that one customer's keys may take
-  std::size_t max_waiters = 64;            // requests that wait for one key
+  std::size_t memory = 8 << 20;            // bytes for entries, responses and waiters together
+  std::chrono::milliseconds keep{60'000};  // how long a key is stored after its request was sent
+  double customer_quota = 0.25;            // maximum fraction of `memory` for one customer's keys
+  std::size_t max_waiters = 64;            // maximum number of requests that wait for one key
   WhenFull when_full = WhenFull::kReject;
   WhenUnconfirmed when_unconfirmed = WhenUnconfirmed::kStartSticky;
   std::size_t replicas = 2;                      // gateways that record a key's claim before its work begins
-  std::size_t datagrams_per_second = 20;         // to each peer, at most
-  std::chrono::milliseconds peer_silent{1'500};  // a peer that leaves questions unanswered this long is away
+  std::size_t datagrams_per_second = 20;         // maximum rate to each peer
+  std::chrono::milliseconds peer_silent{1'500};  // a peer is unavailable if it sends no reply for this long
   bool operator==(const Limits&) const = default;
 };
 
--- a/src/idempotency/placement.cpp
+++ b/src/idempotency/placement.cpp
@@ -9,7 +9,8 @@
 namespace postspread::idempotency {
 namespace {
 
-// In a candidate's lowest byte: a group and a gateway of the same number have different scores.
+// A candidate's lowest byte holds its kind, so that a group and a gateway with the same number have different
+// scores.
 constexpr std::uint64_t kGroupCandidate = 1;
 constexpr std::uint64_t kGatewayCandidate = 2;
 
@@ -17,7 +18,8 @@
   return RendezvousScore(key, static_cast<std::uint64_t>(rank) << 8 | kGatewayCandidate);
 }
 
-// Weighted rendezvous: the weight over the negative logarithm of a uniform number in (0, 1).
+// Returns the score of weighted rendezvous hashing: the weight divided by the negative logarithm of a uniform
+// value in (0, 1).
 double GroupScore(const KeyId& key, const UpstreamGroup& group) {
   const std::uint64_t hash =
       RendezvousScore(key, static_cast<std::uint64_t>(group.id) << 8 | kGroupCandidate);
--- a/src/idempotency/placement.h
+++ b/src/idempotency/placement.h
@@ -1,5 +1,5 @@
-// Which gateways and which upstreams a key belongs to: rendezvous hashing over what this gateway knows of
-// both. All gateways that know the same choose the same, and a change moves only the keys that it must.
+// Assigns keys to gateways and to upstream groups by rendezvous hashing over those that this gateway knows.
+// Gateways with the same knowledge choose the same, and a change of membership reassigns a minimum of keys.
 #ifndef POSTSPREAD_IDEMPOTENCY_PLACEMENT_H_
 #define POSTSPREAD_IDEMPOTENCY_PLACEMENT_H_
 
@@ -12,14 +12,14 @@
 
 namespace postspread::idempotency {
 
-// The upstream group that a key's work is sent to, in proportion to the groups' ready upstreams; nothing:
-// none is ready.
+// Returns the upstream group to which a key's work is sent. Keys are distributed in proportion to the groups'
+// ready upstreams. Returns nullopt if no upstream is ready.
 std::optional<UpstreamGroup> HomeGroup(const KeyId& key, std::span<const UpstreamGroup> groups);
 
-// The `count` best of these gateways for a key, the best first.
+// Returns at most `count` of these gateways, with the highest scores for a key, in descending order.
 std::vector<int> BestGateways(const KeyId& key, std::vector<int> ranks, std::size_t count);
 
-// Of two gateways that claim a key at once, whether the first gets it.
+// Returns whether `rank` gets a key that `other_rank` claims at the same time.
 bool TakesPrecedence(const KeyId& key, int rank, int other_rank);
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/rank_set.h
+++ b/src/idempotency/rank_set.h
@@ -1,5 +1,5 @@
-// A small set of gateways, by rank, out of a group of any size. Each entry of the store has several, so its
-// capacity is fixed; a rank beyond it is not recorded.
+// A small set of gateways, by rank, from a group of any size. Each entry of the store has several such sets,
+// so the capacity is fixed; a rank beyond the capacity is not recorded.
 #ifndef POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
 #define POSTSPREAD_IDEMPOTENCY_RANK_SET_H_
 
@@ -18,7 +18,7 @@
   [[nodiscard]] const std::uint16_t* begin() const { return ranks_.data(); }
   [[nodiscard]] const std::uint16_t* end() const { return ranks_.data() + size_; }
   [[nodiscard]] bool Has(int rank) const { return std::find(begin(), end(), rank) != end(); }
-  // False where there is no room.
+  // Returns false if the set is full.
   bool Add(int rank) {
     if (Has(rank)) return true;
     if (size_ == kCapacity) return false;
--- a/src/idempotency/types.h
+++ b/src/idempotency/types.h
@@ -1,4 +1,4 @@
-// The values that enter and leave the idempotency replica.
+// The inputs and the actions of the idempotency replica.
 #ifndef POSTSPREAD_IDEMPOTENCY_TYPES_H_
 #define POSTSPREAD_IDEMPOTENCY_TYPES_H_
 
@@ -13,14 +13,15 @@
 
 namespace postspread::idempotency {
 
-// Time since an origin that the caller chooses; it never decreases.
+// A time point is measured from an origin that the caller chooses; it never decreases.
 using TimePoint = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
 
-// A request that waits for the answer to a key. The caller never uses a number twice.
+// Identifies a request that waits for the response to a key. The caller never uses an id twice.
 using WaiterId = std::uint64_t;
 
-// (customer, class, idempotency key) as 128 bits; neither the store nor the datagrams hold a client's text.
+// The 128-bit digest of (customer, class, idempotency key). Neither the store nor the datagrams contain the
+// client's own text.
 struct KeyId {
   std::uint64_t high = 0, low = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with 0
@@ -30,79 +31,82 @@
   std::size_t operator()(const KeyId& key) const { return static_cast<std::size_t>(key.low); }
 };
 
-// What the caller needs in order to start a waiter's request; the replica stores it and does not read it, but
-// for the customer's gateways.
+// The data that the caller needs to start a waiter's request. The replica stores it and reads only the
+// customer's gateways from it.
 struct Work {
   std::array<char, 16> customer{};
   std::int16_t class_index = 0, plan_index = 0;
-  std::int16_t spread = 1, first = 0;  // the customer's gateways: `spread` ranks in a row from `first`
+  std::int16_t spread = 1, first = 0;  // the customer's gateways are `spread` consecutive ranks from `first`
   float units = 1;
   bool is_retry = false;
 };
 
-// A request with an idempotency key has arrived.
+// A request with an idempotency key, as it arrives from a client.
 struct KeyedRequest {
   WaiterId waiter = 0;
   KeyId key;
-  std::uint64_t fingerprint = 0;  // of everything that must be equal in a repeat
-  std::uint32_t customer = 0;     // a hash of the customer's name
-  TimePoint deadline{0};          // its final answer must have left by then
-  Duration dedup_window{0};       // how long after a send the upstreams drop repeats of it
-  bool sticky = false;            // only upstreams of one group drop each other's repeats; else all do
+  std::uint64_t fingerprint = 0;  // hash of everything that must be equal in a repeat
+  std::uint32_t customer = 0;     // hash of the customer's name
+  TimePoint deadline{0};          // the client must have its final response by then
+  Duration dedup_window{0};       // how long after the first send the upstreams drop repeats of the request
+  bool sticky = false;            // true: only upstreams of the same group drop each other's repeats
   Work work;
 };
 
-// Upstreams that drop each other's repeats, as the endpoint list shows them.
+// A group of upstreams that drop each other's repeats, as given by the endpoint list.
 struct UpstreamGroup {
   std::int64_t id = 0;
   std::size_t ready = 0;  // upstreams that accept new work
 };
 
-// Where the work on a key may be sent.
+// The upstreams to which the work on a key may be sent.
 struct StickyPlacement {
-  std::optional<std::int64_t> group;  // nothing: anywhere
-  bool may_have_run = false;          // an earlier attempt, `age` ago, may have run
+  std::optional<std::int64_t> group;  // nullopt: any upstream
+  bool may_have_run = false;          // an earlier attempt, started `age` ago, may have been executed
   Duration age{0};
 };
 
-// ---- Actions, which the caller executes at once and in order.
+// ---- Actions ----
+// The caller executes them at once and in order.
 
-// Start the request of this waiter; report its end by IdempotencyReplica::OnWorkFinished.
+// The caller starts this waiter's request and reports its end by IdempotencyReplica::OnWorkFinished.
 struct StartRequest {
   WaiterId waiter = 0;
   Work work;
   TimePoint deadline{0};
   StickyPlacement placement;
 };
-// Start it without deduplication, as the operator chose for a full store. Its end is not reported.
+// The caller starts this waiter's request without deduplication, which the operator has chosen for a full
+// store. The caller does not report its end.
 struct StartUnprotected {
   WaiterId waiter = 0;
   Work work;
   TimePoint deadline{0};
 };
-// Final answers.
+// The final responses.
 struct CompleteRequest {
   WaiterId waiter = 0;
   std::shared_ptr<const std::string> value;
 };
-struct RejectWithRetryAfter {  // this request was not started; a retry is harmless
+struct RejectWithRetryAfter {  // the request was not started, so a retry cannot execute it twice
   WaiterId waiter = 0;
   Duration retry_after{0};
 };
 enum class FailureReason {
-  kUnknownOutcome,       // it may have been executed
+  kUnknownOutcome,       // the request may have been executed
   kFingerprintMismatch,  // the key belongs to another request
-  kAnswerDropped,        // it was executed; its answer is no longer stored
+  kAnswerDropped,        // the request was executed; its response is no longer stored
 };
 struct FailRequest {
   WaiterId waiter = 0;
   FailureReason reason = FailureReason::kUnknownOutcome;
 };
-// Nobody needs this waiter's request any more; in place of its final answer where the work outlived it.
+// The client of this waiter has disconnected and needs no response. It takes the place of the final response
+// where the client disconnected while the work ran.
 struct ReleaseRequest {
   WaiterId waiter = 0;
 };
-struct SendDatagram {  // to a peer; at most kMaxDatagram bytes
+struct SendDatagram {  // `bytes` go to the peer of this rank; at most kMaxDatagram
   int rank = 0;
   std::string bytes;
 };
@@ -111,20 +115,20 @@
 
 // How the work on a key ended.
 enum class WorkResult {
-  kServed,    // with a value
-  kRejected,  // it never ran
-  kFailed,    // it may have run
+  kServed,    // an upstream returned a value
+  kRejected,  // the request was not executed
+  kFailed,    // the request may have been executed
 };
 
-// A gateway and the group that it belongs to.
+// This gateway's place in its group.
 struct GatewayIdentity {
   int rank = 0;
   int group_size = 1;
-  bool has_peers = false;         // datagrams can be sent to them
+  bool has_peers = false;         // true if datagrams can be sent to the other gateways
   std::uint64_t incarnation = 0;  // higher than at any earlier start
 };
 
-inline constexpr std::size_t kMaxDatagram = 256;
+inline constexpr std::size_t kMaxDatagram = 256;  // bytes
 
 }  // namespace postspread::idempotency
 
