--- a/src/idempotency/action_writer.cpp
+++ b/src/idempotency/action_writer.cpp
@@ -6,11 +6,11 @@
 namespace postspread::idempotency {
 
 void ActionWriter::Complete(const Waiter& waiter, std::shared_ptr<const std::string> value) {
-  Answer(waiter, CompleteRequest{waiter.id, std::move(value)});
+  AddFinalAction(waiter, CompleteRequest{waiter.id, std::move(value)});
 }
 
 void ActionWriter::Reject(const Waiter& waiter, Duration retry_after) {
-  Answer(waiter, RejectWithRetryAfter{waiter.id, retry_after});
+  AddFinalAction(waiter, RejectWithRetryAfter{waiter.id, retry_after});
 }
 
 void ActionWriter::Fail(const Waiter& waiter, FailureReason reason) {
@@ -25,7 +25,7 @@
       ++counts_.fingerprint_mismatches;
       break;
   }
-  Answer(waiter, FailRequest{waiter.id, reason});
+  AddFinalAction(waiter, FailRequest{waiter.id, reason});
 }
 
 void ActionWriter::StartUnprotected(const Waiter& waiter) {
--- a/src/idempotency/action_writer.h
+++ b/src/idempotency/action_writer.h
@@ -1,5 +1,5 @@
-// Collects the actions of one call, among them the final answers of an entry's waiters. A waiter whose client
-// has gone is released in place of its answer.
+// Collects the actions of one call, including the final responses to an entry's waiters. A waiter whose
+// client has disconnected gets a ReleaseRequest in place of its response.
 #ifndef POSTSPREAD_IDEMPOTENCY_ACTION_WRITER_H_
 #define POSTSPREAD_IDEMPOTENCY_ACTION_WRITER_H_
 
@@ -27,13 +27,14 @@
     actions_.emplace_back(std::move(action));
   }
 
-  // Final answer of one waiter, which is no longer in the store.
+  // Add the final response to one waiter, or start its request without deduplication. The waiter is no longer
+  // in the store.
   void Complete(const Waiter& waiter, std::shared_ptr<const std::string> value);
   void Reject(const Waiter& waiter, Duration retry_after);
   void Fail(const Waiter& waiter, FailureReason reason);
   void StartUnprotected(const Waiter& waiter);
 
-  // The same for all of an entry's waiters, which leave the store.
+  // Do the same for all of an entry's waiters and remove them from the store.
   void CompleteAll(Entry& entry, std::string value);
   void RejectAll(Entry& entry, Duration retry_after);
   void FailAll(Entry& entry, FailureReason reason);
@@ -41,9 +42,9 @@
 
  private:
   template <typename A>
-  void Answer(const Waiter& waiter, A answer) {
+  void AddFinalAction(const Waiter& waiter, A action) {
     if (waiter.client_disconnected) return Add(ReleaseRequest{waiter.id});
-    Add(std::move(answer));
+    Add(std::move(action));
   }
 
   IdempotencyStore& store_;
--- a/src/idempotency/answer_fetcher.h
+++ b/src/idempotency/answer_fetcher.h
@@ -1,5 +1,5 @@
-// Transfers answers between gateways in fragments: requests a holder's answer, assembles what arrives, and
-// serves the requests of others.
+// Transfers responses between gateways in fragments: requests a holder's response, assembles the fragments
+// that arrive, and sends fragments to the peers that request them.
 #ifndef POSTSPREAD_IDEMPOTENCY_ANSWER_FETCHER_H_
 #define POSTSPREAD_IDEMPOTENCY_ANSWER_FETCHER_H_
 
@@ -13,23 +13,24 @@
 namespace postspread::idempotency {
 
 enum class FetchProgress {
-  kIgnored,     // the fragment is not one that is missing
+  kIgnored,     // the fragment is invalid or has arrived before
   kIncomplete,  // more fragments are missing
-  kNoCapacity,  // the store has no room for the answer
-  kComplete,    // the entry's answer is whole
+  kNoCapacity,  // the store has no capacity for the response
+  kComplete,    // the entry's response is complete
 };
 
-class AnswerFetcher {
+class ResponseFetcher {
  public:
-  AnswerFetcher(const Limits& limits, IdempotencyStore& store, Peers& peers)
+  ResponseFetcher(const Limits& limits, IdempotencyStore& store, Peers& peers)
       : limits_(limits), store_(store), peers_(peers) {}
 
-  // Asks the entry's holder for the missing fragments of the current window; begins the transfer if need be.
+  // Requests the missing fragments of the current window from the entry's holder, and begins the transfer if
+  // none is active.
   void Request(Entry& entry, TimePoint now);
-  // Ends a transfer without its answer.
+  // Cancels the transfer, if one is active, and drops the fragments that have arrived.
   void Cancel(Entry& entry);
   FetchProgress OnFragment(Entry& entry, const FragmentRecord& fragment, TimePoint now);
-  // Sends a peer the fragments that it asks for, of an entry that has its answer.
+  // Sends a peer the fragments that it requests from an entry with a complete response.
   void SendFragments(int rank, const Entry& entry, const FetchRecord& fetch, TimePoint now);
 
  private:
--- a/src/idempotency/claim_protocol.cpp
+++ b/src/idempotency/claim_protocol.cpp
@@ -42,47 +42,48 @@
   entry.claim.first_sent = now;
 }
 
-EntryFate ClaimProtocol::StartClaim(Entry& entry, TimePoint now) {
+EntryStatus ClaimProtocol::StartClaim(Entry& entry, TimePoint now) {
   fetcher_.Cancel(entry);
   entry.Apply(KeyEvent::kClaimStarted);
   entry.claim = OwnClaim{};
   entry.claim.confirmed = !IsRecovering(now);
   BeginRound(entry, now);
   entry.next_attempt = now + RetryInterval(limits_);
-  return SettleClaim(entry, now);
+  return StartIfAllVoted(entry, now);
 }
 
-EntryFate ClaimProtocol::OnVoteCounted(Entry& entry, int rank, TimePoint now) {
+EntryStatus ClaimProtocol::OnVoteCounted(Entry& entry, int rank, TimePoint now) {
   entry.claim.awaiting.Remove(rank);
-  return SettleClaim(entry, now);
+  return StartIfAllVoted(entry, now);
 }
 
-EntryFate ClaimProtocol::RetryClaim(Entry& entry, TimePoint now) {
-  if (SettleClaim(entry, now) == EntryFate::kRemoved) return EntryFate::kRemoved;
-  if (entry.state != KeyState::kClaiming) return EntryFate::kPresent;
+EntryStatus ClaimProtocol::RetryClaim(Entry& entry, TimePoint now) {
+  if (StartIfAllVoted(entry, now) == EntryStatus::kRemoved) return EntryStatus::kRemoved;
+  if (entry.state != KeyState::kClaiming) return EntryStatus::kPresent;
   const ClaimRecord claim = ToClaim(entry);
-  for (const int rank : entry.claim.awaiting) peers_.Queue(rank, claim, Response::kExpected, now);
+  for (const int rank : entry.claim.awaiting) peers_.Queue(rank, claim, Reply::kExpected, now);
   entry.next_attempt = now + RetryInterval(limits_);
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
-// Starts the work once every vote has arrived that can.
-EntryFate ClaimProtocol::SettleClaim(Entry& entry, TimePoint now) {
+// Starts the work if no vote from an available replica is missing. A key that no gateway could confirm as new
+// is started or rejected as the operator has set.
+EntryStatus ClaimProtocol::StartIfAllVoted(Entry& entry, TimePoint now) {
   SendMissingClaims(entry, now);
-  if (!entry.claim.awaiting.empty()) return EntryFate::kPresent;
+  if (!entry.claim.awaiting.empty()) return EntryStatus::kPresent;
   if (!entry.claim.confirmed) {
     ++counts_.unconfirmed;
     if (limits_.when_unconfirmed == WhenUnconfirmed::kReject) {
       actions_.RejectAll(entry, kStoreFullRetryAfter);
       CancelClaim(entry, now);
-      return EntryFate::kRemoved;
+      return EntryStatus::kRemoved;
     }
   }
   runner_.StartFirstAttempt(entry, now);
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
-// Claims the key at replicas that have not been asked yet, and stops waiting for those that are away.
+// Claims the key at the replicas that have not been queried yet, and stops waiting for unavailable ones.
 void ClaimProtocol::SendMissingClaims(Entry& entry, TimePoint now) {
   const ClaimRecord claim = ToClaim(entry);
   RankSet awaiting;
@@ -91,27 +92,27 @@
       if (entry.claim.awaiting.Has(rank)) awaiting.Add(rank);
       continue;
     }
-    peers_.Queue(rank, claim, Response::kExpected, now);
+    peers_.Queue(rank, claim, Reply::kExpected, now);
     awaiting.Add(rank);
-    // A recipient beyond the set's capacity is asked again, and is not sent a withdrawal: its record expires.
+    // A recipient beyond the set's capacity is queried again and is sent no withdrawal; its record expires.
     entry.claim.recipients.Add(rank);
   }
   entry.claim.awaiting = awaiting;
 }
 
-// The other gateways of the customer that record the key: the best of those that live, this one counted too,
-// so that all who claim a key ask the same ones.
+// Returns the other gateways that record the key: those of the customer's available gateways with the highest
+// scores. This gateway takes part in the ranking, so that all gateways that claim a key query the same ones.
 RankSet ClaimProtocol::Replicas(const Entry& entry, TimePoint now) const {
   if (!identity_.has_peers) return {};
   const Work& work = entry.waiters.front().work;
   const int group_size = std::min(identity_.group_size, kMaxPeers);
-  std::vector<int> living;
+  std::vector<int> available;
   for (int offset = 0; offset < std::min<int>(work.spread, group_size); ++offset) {
     const int rank = (work.first + offset) % group_size;
-    if (rank == identity_.rank || !peers_.IsAway(rank, now)) living.push_back(rank);
+    if (rank == identity_.rank || !peers_.IsUnavailable(rank, now)) available.push_back(rank);
   }
   RankSet replicas;
-  for (const int rank : BestGateways(entry.key, std::move(living), limits_.replicas)) {
+  for (const int rank : BestGateways(entry.key, std::move(available), limits_.replicas)) {
     if (rank != identity_.rank) replicas.Add(rank);
   }
   return replicas;
@@ -120,20 +121,20 @@
 // ---- The holder ----
 
 bool ClaimProtocol::IsHolderLost(const Entry& entry, TimePoint now) const {
-  return peers_.IsAway(entry.holder.rank, now) ||
+  return peers_.IsUnavailable(entry.holder.rank, now) ||
          peers_.HasRestarted(entry.holder.rank, entry.holder.incarnation);
 }
 
 void ClaimProtocol::QueryHolder(Entry& entry, TimePoint now) {
   if (IsHolderLost(entry, now)) return runner_.Resume(entry, now);
-  // A repeated query keeps its round, so that a late response to the first one counts too.
+  // A repeated query has the same round, so that a late reply to the first query also counts.
   if (!std::exchange(entry.claim.is_status_query, true)) BeginRound(entry, now);
-  peers_.Queue(entry.holder.rank, ToClaim(entry), Response::kExpected, now);
+  peers_.Queue(entry.holder.rank, ToClaim(entry), Reply::kExpected, now);
   entry.next_attempt = now + RetryInterval(limits_);
 }
 
 void ClaimProtocol::RecoverOwnWork(Entry& entry, const VoteRecord& vote, TimePoint now) {
-  entry.Apply(KeyEvent::kOwnClaimRecalled);
+  entry.Apply(KeyEvent::kOwnClaimReported);
   entry.executed = IsExecuted(vote.phase);
   ApplyPlacement(entry, vote);
   runner_.Resume(entry, now);
@@ -141,22 +142,23 @@
 
 void ClaimProtocol::ApplyPlacement(Entry& entry, const VoteRecord& vote) const {
   entry.group = vote.has_group != 0 ? std::optional(vote.group) : std::nullopt;
-  // The latest time at which the work can have begun: the vote is younger than our question. Counted from the
-  // vote's arrival its transit would lengthen the deduplication window.
+  // This is the earliest time at which the work can have begun, because the voter computed the age after this
+  // gateway had sent its query. A time counted from the vote's arrival would extend the deduplication window
+  // by the vote's transit time.
   entry.sent = entry.claim.first_sent - std::chrono::milliseconds(vote.age_ms + 1);
 }
 
 // ---- The end of a claim ----
 
 void ClaimProtocol::Withdraw(const Entry& entry, TimePoint now) {
-  constexpr int kNobody = -1;
-  WithdrawExcept(entry, kNobody, now);
+  constexpr int kNoRank = -1;
+  WithdrawExcept(entry, kNoRank, now);
 }
 
 void ClaimProtocol::WithdrawExcept(const Entry& entry, int except_rank, TimePoint now) {
   const OutcomeRecord record{.key = entry.key, .round = entry.claim.round, .withdrawn = 1};
   for (const int rank : entry.claim.recipients) {
-    if (rank != except_rank) peers_.Queue(rank, record, Response::kNone, now);
+    if (rank != except_rank) peers_.Queue(rank, record, Reply::kNone, now);
   }
 }
 
@@ -182,7 +184,7 @@
                              .withdrawn = 0,
                              .phase = entry.ReportedPhase(),
                              .age_ms = ToWireMilliseconds(now - entry.sent)};
-  for (const int rank : entry.interested) peers_.Queue(rank, record, Response::kNone, now);
+  for (const int rank : entry.subscribers) peers_.Queue(rank, record, Reply::kNone, now);
 }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/claim_protocol.h
+++ b/src/idempotency/claim_protocol.h
@@ -1,6 +1,7 @@
-// This gateway's side of the agreement on who runs a key. Before the work on a key begins, its replicas among
-// the customer's gateways are asked to record the claim; a replica that knows of an earlier claim names its
-// holder, which is then asked how the work stands.
+// This gateway's side of the protocol that decides which gateway runs the work on a key. Before the work
+// begins, the gateway queries the key's replicas, which are some of the customer's gateways, to record its
+// claim. A replica with a record of an earlier claim names its holder, and the gateway then queries the
+// holder for the status of the work.
 #ifndef POSTSPREAD_IDEMPOTENCY_CLAIM_PROTOCOL_H_
 #define POSTSPREAD_IDEMPOTENCY_CLAIM_PROTOCOL_H_
 
@@ -20,15 +21,15 @@
 
 namespace postspread::idempotency {
 
-// Whether an entry is still in the store after a step.
-enum class EntryFate { kPresent, kRemoved };
+// Whether an entry is still in the store after a call.
+enum class EntryStatus { kPresent, kRemoved };
 
 class ClaimProtocol {
  public:
   struct Collaborators {
     IdempotencyStore& store;
     Peers& peers;
-    AnswerFetcher& fetcher;
+    ResponseFetcher& fetcher;
     WorkRunner& runner;
     ActionWriter& actions;
     Counts& counts;
@@ -36,39 +37,40 @@
   ClaimProtocol(const Limits& limits, const GatewayIdentity& identity, TimePoint start,
                 const Collaborators& collaborators);
 
-  // Claims the key at its replicas; the work starts at once where there is none to ask.
-  [[nodiscard]] EntryFate StartClaim(Entry& entry, TimePoint now);
-  // A replica granted the claim, or is no longer waited for.
-  [[nodiscard]] EntryFate OnVoteCounted(Entry& entry, int rank, TimePoint now);
-  // The replicas have not all voted in time: asks them again, and others in place of those that are away.
-  [[nodiscard]] EntryFate RetryClaim(Entry& entry, TimePoint now);
+  // Claims the key at its replicas; starts the work at once if there are no other replicas.
+  [[nodiscard]] EntryStatus StartClaim(Entry& entry, TimePoint now);
+  // Counts the vote of a replica that does not object to the claim, or whose objection is stale.
+  [[nodiscard]] EntryStatus OnVoteCounted(Entry& entry, int rank, TimePoint now);
+  // Queries the replicas whose votes are missing again, and others in place of those that are unavailable.
+  [[nodiscard]] EntryStatus RetryClaim(Entry& entry, TimePoint now);
 
-  // Asks the holder how its work stands; resumes the work where the holder is gone.
+  // Queries the holder for the status of its work; resumes the work if the holder is lost.
   void QueryHolder(Entry& entry, TimePoint now);
-  // A peer remembers a claim of this gateway's earlier incarnation, whose work may have run.
+  // Handles a vote that names a claim of this gateway's earlier incarnation, whose work may have been
+  // executed.
   void RecoverOwnWork(Entry& entry, const VoteRecord& vote, TimePoint now);
-  // Takes over the group and the time of sending that a vote reports.
+  // Sets the entry's group and the start time of its work to those that a vote reports.
   void ApplyPlacement(Entry& entry, const VoteRecord& vote) const;
 
-  // Takes a claim back at the replicas that may have recorded it.
+  // Withdraw the claim at the replicas that may have recorded it.
   void Withdraw(const Entry& entry, TimePoint now);
   void WithdrawExcept(const Entry& entry, int except_rank, TimePoint now);
-  // Withdraws the claim and forgets the key.
+  // Withdraws the claim and removes the key.
   void CancelClaim(Entry& entry, TimePoint now);
-  // A replica has no room for the claim: ends the waiters as for a full store.
+  // Cancels a claim for which a replica has no capacity, and treats the waiters as for a full store.
   void CancelForCapacity(Entry& entry, TimePoint now);
-  // Notifies the peers that asked about the key.
+  // Notifies the peers that queried the key of its outcome.
   void AnnounceOutcome(const Entry& entry, TimePoint now);
 
-  // The holder is away, or has restarted and forgotten.
+  // Returns whether the holder is unavailable, or has restarted and lost its records.
   [[nodiscard]] bool IsHolderLost(const Entry& entry, TimePoint now) const;
-  // Up for less than keys are kept: claims of before the start may be forgotten.
+  // Returns whether this gateway started less than `keep` ago and may have lost records of earlier claims.
   [[nodiscard]] bool IsRecovering(TimePoint now) const { return now - start_ < limits_.keep; }
-  // The round of the next claim or query.
+  // Returns the round of the next claim or query.
   [[nodiscard]] std::uint32_t next_round() const { return next_round_; }
 
  private:
-  [[nodiscard]] EntryFate SettleClaim(Entry& entry, TimePoint now);
+  [[nodiscard]] EntryStatus StartIfAllVoted(Entry& entry, TimePoint now);
   void SendMissingClaims(Entry& entry, TimePoint now);
   [[nodiscard]] RankSet Replicas(const Entry& entry, TimePoint now) const;
   void BeginRound(Entry& entry, TimePoint now);
@@ -78,7 +80,7 @@
   TimePoint start_;
   IdempotencyStore& store_;
   Peers& peers_;
-  AnswerFetcher& fetcher_;
+  ResponseFetcher& fetcher_;
   WorkRunner& runner_;
   ActionWriter& actions_;
   Counts& counts_;
--- a/src/idempotency/entry.cpp
+++ b/src/idempotency/entry.cpp
@@ -18,8 +18,8 @@
 
 Phase Entry::ReportedPhase() const {
   switch (state) {
-    case KeyState::kAnswered:
-      return has_answer ? Phase::kAnswered : Phase::kAnsweredNoValue;
+    case KeyState::kCompleted:
+      return has_response ? Phase::kCompleted : Phase::kAnsweredNoValue;
     case KeyState::kUnknownOutcome:
       return executed ? Phase::kAnsweredNoValue : Phase::kUnknown;
     case KeyState::kClaimedByPeer:
@@ -36,12 +36,12 @@
   const bool runs = state == KeyState::kRunning;
   TimePoint next = runs ? TimePoint::max() : expires;
   for (const Waiter& waiter : waiters) {
-    // The end of the request that runs comes from the caller.
+    // The caller reports the end of the running request, also at its deadline.
     if (!IsRunning(waiter.id)) next = std::min(next, waiter.deadline);
   }
-  const bool asks_peers =
+  const bool queries_peers =
       state == KeyState::kClaiming || (state == KeyState::kClaimedByPeer && !waiters.empty());
-  return asks_peers ? std::min(next, next_attempt) : next;
+  return queries_peers ? std::min(next, next_attempt) : next;
 }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/entry.h
+++ b/src/idempotency/entry.h
@@ -1,4 +1,5 @@
-// All that a gateway knows of one idempotency key. The store owns it; its size is part of the store's bound.
+// The state that a gateway stores for one idempotency key. The store owns each entry and counts its size
+// toward the memory limit.
 #ifndef POSTSPREAD_IDEMPOTENCY_ENTRY_H_
 #define POSTSPREAD_IDEMPOTENCY_ENTRY_H_
 
@@ -16,42 +17,43 @@
 
 namespace postspread::idempotency {
 
-// A request that waits for the answer to the key.
+// A request that waits for the response to the key.
 struct Waiter {
   WaiterId id = 0;
   TimePoint deadline{0};
   Work work;
-  bool client_disconnected = false;  // kept all the same, for its request is the one that runs
+  bool client_disconnected = false;  // the waiter remains, because its request is the one that runs
 };
 
-// The attempt that runs here, in kRunning.
+// The attempt that runs on this gateway while the key is in kRunning.
 struct RunningAttempt {
-  WaiterId waiter = 0;   // whose request is out
-  bool resumed = false;  // an earlier attempt may have run
+  WaiterId waiter = 0;   // the waiter whose request was sent
+  bool resumed = false;  // an earlier attempt may have been executed
 };
 
-// What this gateway asks its peers: to record its claim, or how the holder's work stands. A vote belongs to
-// the question whose round it names.
+// This gateway's pending query to its peers: a claim to be recorded, or a status query to the holder. A vote
+// belongs to the query whose round it carries.
 struct OwnClaim {
   std::uint32_t round = 0;
-  bool confirmed = false;        // kClaiming: a gateway that cannot have forgotten knows nothing of the key
-  bool is_status_query = false;  // kClaimedByPeer: the question went to the holder
+  bool confirmed = false;  // kClaiming: a gateway with an uptime of at least `keep` has no record of the key
+  bool is_status_query = false;  // kClaimedByPeer: the query was sent to the holder
   TimePoint first_sent{0};
-  RankSet awaiting;    // kClaiming: replicas whose votes are missing
-  RankSet recipients;  // replicas that may have recorded the claim
+  RankSet awaiting;    // kClaiming: the replicas whose votes are missing
+  RankSet recipients;  // the replicas that may have recorded the claim
 };
 
-// The peer's claim that this gateway recorded or heard of, in kClaimedByPeer.
+// The peer's claim while the key is in kClaimedByPeer: this gateway recorded it, or a vote reported it.
 struct HolderClaim {
   std::uint16_t rank = 0;
-  Phase phase = Phase::kRunning;  // as last reported
+  Phase phase = Phase::kRunning;  // the last reported phase
   std::uint32_t round = 0;
   std::uint64_t incarnation = 0;
 };
 
-// A holder reported that its claims before a round are withdrawn: what others remember of them is stale.
+// The claims that a holder reported as withdrawn: all its claims before a round. Other gateways' records of
+// them are stale.
 struct WithdrawnClaims {
-  std::uint16_t rank = 0xffff;  // no gateway
+  std::uint16_t rank = 0xffff;  // 0xffff: none
   std::uint32_t before_round = 0;
   std::uint64_t incarnation = 0;
 
@@ -65,28 +67,28 @@
   std::uint64_t fingerprint = 0;
   std::uint32_t customer = 0;
   KeyState state = KeyState::kNew;
-  bool executed = false;              // for certain, though its answer may be lost
-  bool has_answer = false;            // `answer` holds all of it
-  std::optional<std::int64_t> group;  // of upstreams; nothing: all drop each other's repeats
+  bool executed = false;              // the work is known to be executed; its response may be lost
+  bool has_response = false;          // `response` is complete
+  std::optional<std::int64_t> group;  // the upstream group; nullopt: all upstreams drop each other's repeats
   Duration dedup_window{0};
-  TimePoint sent{0};          // when its work began, on whichever gateway; the window counts from here
-  TimePoint expires{0};       // it is forgotten then, unless its work runs
-  TimePoint next_attempt{0};  // kClaiming, kClaimedByPeer with waiters: when peers are asked again
-  TimePoint due{0};           // its position in the store's index of times
+  TimePoint sent{0};          // when the work began, on any gateway; the deduplication window starts here
+  TimePoint expires{0};       // when the store removes the entry, unless its work runs
+  TimePoint next_attempt{0};  // kClaiming, kClaimedByPeer with waiters: when peers are queried again
+  TimePoint due{0};           // the entry's key in the store's time index
   RunningAttempt running;
   OwnClaim claim;
   HolderClaim holder;
   WithdrawnClaims withdrawn;
-  RankSet interested;  // peers that asked about it and are notified of its outcome
+  RankSet subscribers;  // the peers that queried the key and are notified of its outcome
   FragmentAssembly assembly;
   std::pmr::vector<Waiter> waiters;
-  std::pmr::string answer;
+  std::pmr::string response;
 
-  explicit Entry(std::pmr::memory_resource* memory) : waiters(memory), answer(memory) {}
+  explicit Entry(std::pmr::memory_resource* memory) : waiters(memory), response(memory) {}
 
   // Changes the state by the table in key_state.h.
   void Apply(KeyEvent event);
-  // Takes over what a peer reports of its work.
+  // Records the phase that the holder reports.
   void SetPhase(Phase phase);
 
   [[nodiscard]] bool IsRunning(WaiterId waiter) const {
@@ -95,19 +97,19 @@
   [[nodiscard]] bool IsClaimedBy(int rank, std::uint64_t incarnation) const {
     return state == KeyState::kClaimedByPeer && holder.rank == rank && holder.incarnation == incarnation;
   }
-  // What peers learn about the key.
+  // Returns the phase that this gateway reports to its peers.
   [[nodiscard]] Phase ReportedPhase() const;
-  // Why a waiter fails whose answer is out of reach.
+  // Returns the reason with which a waiter fails if the response is not available.
   [[nodiscard]] FailureReason LossReason() const {
     return executed ? FailureReason::kAnswerDropped : FailureReason::kUnknownOutcome;
   }
-  // When it next needs attention: a deadline, a question to peers, or its expiry.
+  // Returns the time of the next timer of this entry: a waiter's deadline, a query to peers, or the expiry.
   [[nodiscard]] TimePoint NextDue() const;
 };
 
-// Whether work in this phase has been executed for certain.
+// Returns whether the work in this phase is known to be executed.
 constexpr bool IsExecuted(Phase phase) {
-  return phase == Phase::kAnswered || phase == Phase::kAnsweredNoValue;
+  return phase == Phase::kCompleted || phase == Phase::kAnsweredNoValue;
 }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/peer_messages.cpp
+++ b/src/idempotency/peer_messages.cpp
@@ -12,7 +12,7 @@
 namespace postspread::idempotency {
 namespace {
 
-// An outcome that answers a fetch, not a claim.
+// The round of an outcome that replies to a fetch and not to a claim.
 constexpr std::uint32_t kAnyRound = std::numeric_limits<std::uint32_t>::max();
 
 }  // namespace
@@ -43,8 +43,8 @@
     return OnPrecedingClaim(*entry, from, claim, now);
   }
   if (entry->fingerprint != claim.fingerprint) return Vote(from, claim, VoteKind::kFingerprintMismatch, now);
-  entry->interested.Add(from);
-  peers_.Queue(from, AlreadyClaimedVote(*entry, claim.round, now), Response::kNone, now);
+  entry->subscribers.Add(from);
+  peers_.Queue(from, AlreadyClaimedVote(*entry, claim.round, now), Reply::kNone, now);
 }
 
 void PeerMessageHandler::OnFirstClaim(int from, const ClaimRecord& claim, TimePoint now) {
@@ -57,10 +57,11 @@
 }
 
 void PeerMessageHandler::OnHolderClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now) {
-  const bool overtaken = claim.round < entry.holder.round;
-  if (overtaken) return;
+  const bool stale = claim.round < entry.holder.round;
+  if (stale) return;
   if (entry.fingerprint != claim.fingerprint) return Vote(from, claim, VoteKind::kFingerprintMismatch, now);
-  // A repeated claim is not recorded again: its work, and so its window, may have begun since the first one.
+  // A repeated claim is not recorded again, because the holder's work and its deduplication window may have
+  // begun after the first one.
   if (claim.round > entry.holder.round) {
     RecordHolder(entry, from, claim, now);
     store_.Reschedule(entry);
@@ -68,7 +69,7 @@
   Grant(from, claim, now);
 }
 
-// Both gateways claim the key, and the other one gets it.
+// This gateway and the peer both claim the key, and the peer takes precedence.
 void PeerMessageHandler::OnPrecedingClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now) {
   claims_.WithdrawExcept(entry, from, now);
   if (entry.fingerprint != claim.fingerprint) {
@@ -76,7 +77,7 @@
     entry.fingerprint = claim.fingerprint;
   }
   RecordHolder(entry, from, claim, now);
-  entry.next_attempt = now + kHolderPollInterval;
+  entry.next_attempt = now + kHolderQueryInterval;
   store_.Reschedule(entry);
   Grant(from, claim, now);
 }
@@ -98,7 +99,7 @@
 void PeerMessageHandler::Vote(int to, const ClaimRecord& claim, VoteKind kind, TimePoint now) {
   const VoteRecord vote{
       .key = claim.key, .round = claim.round, .kind = kind, .reference_round = claims_.next_round()};
-  peers_.Queue(to, vote, Response::kNone, now);
+  peers_.Queue(to, vote, Reply::kNone, now);
 }
 
 void PeerMessageHandler::Grant(int to, const ClaimRecord& claim, TimePoint now) {
@@ -125,18 +126,18 @@
 void PeerMessageHandler::On(int from, const VoteRecord& vote, TimePoint now) {
   Entry* const entry = store_.Find(vote.key);
   if (entry == nullptr || vote.round != entry->claim.round) return;
-  EntryFate fate = EntryFate::kPresent;
+  EntryStatus status = EntryStatus::kPresent;
   if (entry->state == KeyState::kClaiming) {
-    fate = OnVoteWhileClaiming(*entry, from, vote, now);
+    status = OnVoteWhileClaiming(*entry, from, vote, now);
   } else if (entry->state == KeyState::kClaimedByPeer && from == entry->holder.rank &&
              !entry->waiters.empty()) {
-    fate = OnHolderVote(*entry, from, vote, now);
+    status = OnHolderVote(*entry, from, vote, now);
   }
-  if (fate == EntryFate::kPresent) store_.Reschedule(*entry);
+  if (status == EntryStatus::kPresent) store_.Reschedule(*entry);
 }
 
-EntryFate PeerMessageHandler::OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote,
-                                                  TimePoint now) {
+EntryStatus PeerMessageHandler::OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote,
+                                                    TimePoint now) {
   switch (vote.kind) {
     case VoteKind::kGranted:
       entry.claim.confirmed = true;
@@ -147,10 +148,10 @@
       actions_.FailAll(entry, FailureReason::kFingerprintMismatch);
       claims_.WithdrawExcept(entry, from, now);
       store_.Remove(entry);
-      return EntryFate::kRemoved;
+      return EntryStatus::kRemoved;
     case VoteKind::kNoCapacity:
       claims_.CancelForCapacity(entry, now);
-      return EntryFate::kRemoved;
+      return EntryStatus::kRemoved;
     case VoteKind::kAlreadyClaimed:
       break;
   }
@@ -159,16 +160,17 @@
   const bool is_withdrawn =
       vote.holder != from &&
       entry.withdrawn.Contain(vote.holder, vote.holder_incarnation, vote.reference_round);
-  // What the voter remembers is withdrawn, by the word of the gateway that had claimed the key.
+  // The voter's record does not count: it names this gateway's own pending claim, or a claim that its gateway
+  // has reported as withdrawn.
   if (is_own_claim || is_withdrawn) return claims_.OnVoteCounted(entry, from, now);
   if (is_own_rank) {
     claims_.RecoverOwnWork(entry, vote, now);
-    return EntryFate::kPresent;
+    return EntryStatus::kPresent;
   }
   return OnHolderFound(entry, from, vote, now);
 }
 
-EntryFate PeerMessageHandler::OnHolderFound(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
+EntryStatus PeerMessageHandler::OnHolderFound(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
   claims_.WithdrawExcept(entry, from, now);
   entry.Apply(KeyEvent::kHolderFound);
   entry.holder = {.rank = vote.holder, .phase = vote.phase, .incarnation = vote.holder_incarnation};
@@ -176,32 +178,32 @@
   claims_.ApplyPlacement(entry, vote);
   if (from == vote.holder) return OnHolderVote(entry, from, vote, now);
   claims_.QueryHolder(entry, now);
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
-// The holder's response to a status query, or its vote on our claim.
-EntryFate PeerMessageHandler::OnHolderVote(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
+// Handles the holder's reply to a status query, or its vote on this gateway's claim.
+EntryStatus PeerMessageHandler::OnHolderVote(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
   switch (vote.kind) {
     case VoteKind::kGranted:
     case VoteKind::kGrantedRecovering:
-      return OnHolderForgot(entry, vote, now);
+      return OnHolderWithoutRecord(entry, vote, now);
     case VoteKind::kFingerprintMismatch:
       actions_.FailAll(entry, FailureReason::kFingerprintMismatch);
-      return EntryFate::kPresent;
+      return EntryStatus::kPresent;
     case VoteKind::kNoCapacity:
       actions_.RejectAll(entry, kStoreFullRetryAfter);
-      return EntryFate::kPresent;
+      return EntryStatus::kPresent;
     case VoteKind::kAlreadyClaimed:
       return OnHolderStatus(entry, from, vote, now);
   }
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
-// The holder knows nothing of the key: its claim is withdrawn, unless it has restarted and lost it.
-EntryFate PeerMessageHandler::OnHolderForgot(Entry& entry, const VoteRecord& vote, TimePoint now) {
+// The holder has no record of the key: its claim is withdrawn, unless the holder has restarted and lost it.
+EntryStatus PeerMessageHandler::OnHolderWithoutRecord(Entry& entry, const VoteRecord& vote, TimePoint now) {
   if (peers_.Incarnation(entry.holder.rank) != entry.holder.incarnation) {
     claims_.QueryHolder(entry, now);
-    return EntryFate::kPresent;
+    return EntryStatus::kPresent;
   }
   entry.withdrawn = {.rank = entry.holder.rank,
                      .before_round = vote.reference_round,
@@ -209,28 +211,29 @@
   return claims_.StartClaim(entry, now);
 }
 
-EntryFate PeerMessageHandler::OnHolderStatus(Entry& entry, int from, const VoteRecord& vote, TimePoint now) {
+EntryStatus PeerMessageHandler::OnHolderStatus(Entry& entry, int from, const VoteRecord& vote,
+                                               TimePoint now) {
   if (vote.holder == identity_.rank) {
-    // It takes this gateway for the holder, which has nothing: neither has the other.
+    // The peer names this gateway as the holder, but this gateway does not hold the key: no gateway does.
     if (vote.holder_incarnation == identity_.incarnation) return claims_.StartClaim(entry, now);
     claims_.RecoverOwnWork(entry, vote, now);
-    return EntryFate::kPresent;
+    return EntryStatus::kPresent;
   }
   claims_.ApplyPlacement(entry, vote);
   entry.holder.rank = vote.holder;
   entry.holder.incarnation = vote.holder_incarnation;
   entry.SetPhase(vote.phase);
   if (vote.holder != from || vote.phase == Phase::kRunning) {
-    entry.next_attempt = now + kHolderPollInterval;
+    entry.next_attempt = now + kHolderQueryInterval;
   } else {
     OnHolderPhase(entry, now);
   }
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
-// The holder's work has ended.
+// Fetches the response or resumes the work, after the holder's work has ended.
 void PeerMessageHandler::OnHolderPhase(Entry& entry, TimePoint now) {
-  if (entry.holder.phase == Phase::kAnswered) {
+  if (entry.holder.phase == Phase::kCompleted) {
     fetcher_.Request(entry, now);
   } else {
     runner_.Resume(entry, now);
@@ -247,7 +250,7 @@
     const std::uint32_t round = outcome.round == kAnyRound ? entry->holder.round : outcome.round;
     entry->withdrawn = {
         .rank = entry->holder.rank, .before_round = round + 1, .incarnation = entry->holder.incarnation};
-    if (claims_.StartClaim(*entry, now) == EntryFate::kPresent) store_.Reschedule(*entry);
+    if (claims_.StartClaim(*entry, now) == EntryStatus::kPresent) store_.Reschedule(*entry);
     return;
   }
   entry->SetPhase(outcome.phase);
@@ -256,18 +259,18 @@
   store_.Reschedule(*entry);
 }
 
-// ---- Transfer of answers ----
+// ---- Transfer of responses ----
 
 void PeerMessageHandler::On(int from, const FetchRecord& fetch, TimePoint now) {
   const Entry* const entry = store_.Find(fetch.key);
-  if (entry != nullptr && entry->has_answer) return fetcher_.SendFragments(from, *entry, fetch, now);
+  if (entry != nullptr && entry->has_response) return fetcher_.SendFragments(from, *entry, fetch, now);
   OutcomeRecord outcome{.key = fetch.key, .round = kAnyRound, .withdrawn = 1};
   if (entry != nullptr) {
     outcome.withdrawn = 0;
     outcome.phase = entry->ReportedPhase();
     outcome.age_ms = ToWireMilliseconds(now - entry->sent);
   }
-  peers_.Queue(from, outcome, Response::kNone, now);
+  peers_.Queue(from, outcome, Reply::kNone, now);
 }
 
 void PeerMessageHandler::On(int from, const FragmentRecord& fragment, TimePoint now) {
@@ -280,23 +283,23 @@
     case FetchProgress::kIncomplete:
       break;
     case FetchProgress::kNoCapacity:
-      // The work was executed: only an upstream that drops repeats can give its answer.
+      // The work was executed, so only an upstream that drops repeats can return its response.
       runner_.Resume(*entry, now);
       break;
     case FetchProgress::kComplete:
-      OnAnswerFetched(*entry, from);
+      OnResponseFetched(*entry, from);
       break;
   }
   store_.Reschedule(*entry);
 }
 
-void PeerMessageHandler::OnAnswerFetched(Entry& entry, int from) {
+void PeerMessageHandler::OnResponseFetched(Entry& entry, int from) {
   ++counts_.fetched;
   entry.executed = true;
   entry.claim.recipients.Add(from);
-  entry.Apply(KeyEvent::kAnswerFetched);
-  store_.CommitAnswer(entry);
-  actions_.CompleteAll(entry, std::string(entry.answer));
+  entry.Apply(KeyEvent::kResponseFetched);
+  store_.CommitResponse(entry);
+  actions_.CompleteAll(entry, std::string(entry.response));
 }
 
 }  // namespace postspread::idempotency
--- a/src/idempotency/peer_messages.h
+++ b/src/idempotency/peer_messages.h
@@ -1,4 +1,4 @@
-// Handles the records that peers send: their claims, votes and outcomes, and the transfer of answers.
+// Handles the records that peers send: their claims, votes and outcomes, and the transfer of responses.
 #ifndef POSTSPREAD_IDEMPOTENCY_PEER_MESSAGES_H_
 #define POSTSPREAD_IDEMPOTENCY_PEER_MESSAGES_H_
 
@@ -23,7 +23,7 @@
   struct Collaborators {
     IdempotencyStore& store;
     Peers& peers;
-    AnswerFetcher& fetcher;
+    ResponseFetcher& fetcher;
     WorkRunner& runner;
     ClaimProtocol& claims;
     ActionWriter& actions;
@@ -41,7 +41,8 @@
   void On(int from, const FetchRecord& fetch, TimePoint now);
   void On(int from, const FragmentRecord& fragment, TimePoint now);
 
-  // A peer's claim of a key that is not known here, that it holds already, or that is claimed here too.
+  // Handle a peer's claim of a key: one that this gateway has no record of, one that the peer already holds,
+  // or one that this gateway is also claiming and the peer takes precedence.
   void OnFirstClaim(int from, const ClaimRecord& claim, TimePoint now);
   void OnHolderClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now);
   void OnPrecedingClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now);
@@ -50,19 +51,20 @@
   void Grant(int to, const ClaimRecord& claim, TimePoint now);
   [[nodiscard]] VoteRecord AlreadyClaimedVote(const Entry& entry, std::uint32_t round, TimePoint now) const;
 
-  [[nodiscard]] EntryFate OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
-  [[nodiscard]] EntryFate OnHolderFound(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
-  [[nodiscard]] EntryFate OnHolderVote(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
-  [[nodiscard]] EntryFate OnHolderForgot(Entry& entry, const VoteRecord& vote, TimePoint now);
-  [[nodiscard]] EntryFate OnHolderStatus(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
+  [[nodiscard]] EntryStatus OnVoteWhileClaiming(Entry& entry, int from, const VoteRecord& vote,
+                                                TimePoint now);
+  [[nodiscard]] EntryStatus OnHolderFound(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
+  [[nodiscard]] EntryStatus OnHolderVote(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
+  [[nodiscard]] EntryStatus OnHolderWithoutRecord(Entry& entry, const VoteRecord& vote, TimePoint now);
+  [[nodiscard]] EntryStatus OnHolderStatus(Entry& entry, int from, const VoteRecord& vote, TimePoint now);
   void OnHolderPhase(Entry& entry, TimePoint now);
-  void OnAnswerFetched(Entry& entry, int from);
+  void OnResponseFetched(Entry& entry, int from);
 
   const Limits& limits_;
   GatewayIdentity identity_;
   IdempotencyStore& store_;
   Peers& peers_;
-  AnswerFetcher& fetcher_;
+  ResponseFetcher& fetcher_;
   WorkRunner& runner_;
   ClaimProtocol& claims_;
   ActionWriter& actions_;
--- a/src/idempotency/peers.cpp
+++ b/src/idempotency/peers.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr std::size_t kMaxQueued = 512;
-// Datagrams without any response after which silence is not taken for loss: with one datagram in five lost
-// each way, eleven such runs in a million are.
+// The number of datagrams without a reply after which the peer's silence is not attributed to packet loss.
+// With one datagram in five lost each way, loss alone causes eleven such runs in a million.
 constexpr int kMinUnanswered = 12;
-constexpr Duration kAwayProbeInterval{250'000};  // between datagrams to a peer that is away
-// Incarnations are numbered by the wall clock, which may have been stepped back since. A lower one is taken
-// for a replaced incarnation only while its datagrams may still be on their way; after that it is a new
-// start.
+constexpr Duration kUnavailableProbeInterval{250'000};  // between datagrams to an unavailable peer
+// Incarnations are wall-clock times, and the wall clock may be set back before a restart. A lower incarnation
+// is taken for a replaced one only while its datagrams may still be in flight, and for a new start after
+// that.
 constexpr Duration kReplacedIncarnation{10'000'000};
-constexpr double kBurstSeconds = 0.1;  // the pace's datagrams of this span may be sent at once after a pause
+constexpr double kBurstSeconds = 0.1;  // after a pause, the datagrams of this time may be sent at once
 
 }  // namespace
 
@@ -28,16 +28,17 @@
   return rank >= 0 && rank < static_cast<int>(peers_.size()) && rank != own_header_.rank;
 }
 
-void Peers::Queue(int rank, const Record& record, Response response, TimePoint now) {
+void Peers::Queue(int rank, const Record& record, Reply reply, TimePoint now) {
   if (!IsPeer(rank)) return;
   Peer& peer = peers_[static_cast<std::size_t>(rank)];
-  // A peer that is away gets a probe now and then, or it would come back to a full queue.
-  if (IsAway(rank, now) && (!peer.queue.empty() || now - peer.last_sent < kAwayProbeInterval)) return;
+  // An unavailable peer is sent only a probe at intervals; otherwise its queue would be full on its return.
+  if (IsUnavailable(rank, now) && (!peer.queue.empty() || now - peer.last_sent < kUnavailableProbeInterval))
+    return;
   if (peer.queue.size() >= kMaxQueued) {
     ++dropped_;
     return;
   }
-  peer.queue.push_back({EncodeRecord(record), response});
+  peer.queue.push_back({EncodeRecord(record), reply});
 }
 
 bool Peers::OnDatagram(int rank, std::uint64_t incarnation, TimePoint now) {
@@ -53,21 +54,21 @@
 void Peers::SetView(std::vector<Seen> view) {
   for (std::size_t rank = 0; rank < std::min(view.size(), peers_.size()); ++rank) {
     const bool returned = !view[rank].unavailable && rank < view_.size() && view_[rank].unavailable;
-    // What its former incarnation left unanswered says nothing of the new one.
+    // Queries without a reply from the former incarnation do not count against the new one.
     if (returned) peers_[rank].unanswered = 0;
   }
   view_ = std::move(view);
 }
 
 bool Peers::HasRestarted(int rank, std::uint64_t incarnation) const {
-  constexpr std::uint64_t kMicrosecondsPerMillisecond = 1'000;  // incarnations here are in microseconds
+  constexpr std::uint64_t kMicrosecondsPerMillisecond = 1'000;  // replica incarnations are in microseconds
   const auto index = static_cast<std::size_t>(rank);
   const std::uint64_t received = peers_[index].incarnation;
   if (received != 0 && received != incarnation) return true;
   return index < view_.size() && view_[index].incarnation > incarnation / kMicrosecondsPerMillisecond;
 }
 
-bool Peers::IsAway(int rank, TimePoint now) const {
+bool Peers::IsUnavailable(int rank, TimePoint now) const {
   const auto index = static_cast<std::size_t>(rank);
   const Peer& peer = peers_[index];
   if (index < view_.size() && view_[index].unavailable) return true;
@@ -102,15 +103,15 @@
   if (peer.tokens < 1) return std::nullopt;
   peer.tokens -= 1;
   std::string records;
-  bool expects_response = false;
+  bool expects_reply = false;
   while (!peer.queue.empty()) {
     const QueuedRecord& next = peer.queue.front();
     if (kHeaderBytes + records.size() + next.bytes.size() > kMaxDatagram) break;
     records += next.bytes;
-    expects_response = expects_response || next.response == Response::kExpected;
+    expects_reply = expects_reply || next.reply == Reply::kExpected;
     peer.queue.pop_front();
   }
-  if (expects_response && peer.unanswered++ == 0) peer.unanswered_since = now;
+  if (expects_reply && peer.unanswered++ == 0) peer.unanswered_since = now;
   peer.last_sent = now;
   return EncodeDatagram(own_header_, records);
 }
--- a/src/idempotency/peers.h
+++ b/src/idempotency/peers.h
@@ -1,8 +1,8 @@
-// The other gateways of the group as a replica sees them: the records queued for each, the pace to it,
-// whether it responds, and its incarnation. Free of I/O and clock.
+// A replica's state for each of the other gateways of the group: the queued records, the rate limit, whether
+// the peer replies, and its incarnation. It does no I/O and reads no clock.
 //
-// Bounds: kMaxPeers peers; 512 records are queued for each at most, and the newest is dropped beyond that:
-// every record is either sent again later or only saves a question.
+// Limits: kMaxPeers peers, and at most 512 queued records for each. A new record is dropped if the queue is
+// full, because every record is either sent again later or only saves a query.
 #ifndef POSTSPREAD_IDEMPOTENCY_PEERS_H_
 #define POSTSPREAD_IDEMPOTENCY_PEERS_H_
 
@@ -19,48 +19,50 @@
 
 namespace postspread::idempotency {
 
-inline constexpr int kMaxPeers = 1'000;  // as many as the membership view holds
+inline constexpr int kMaxPeers = 1'000;  // the maximum of the membership view
 
-// Whether any live peer responds to a record.
-enum class Response { kExpected, kNone };
+// Whether a live peer replies to a record.
+enum class Reply { kExpected, kNone };
 
 class Peers {
  public:
-  // `incarnation` is higher than at any earlier start of this gateway, unless the wall clock was stepped
-  // back.
+  // `incarnation` is higher than at any earlier start of this gateway, unless the wall clock was set back.
   Peers(int own_rank, int group_size, std::uint64_t incarnation, const Limits& limits);
 
   void SetLimits(const Limits& limits) { limits_ = limits; }
 
-  // A peer in the membership view, by rank; an empty view says nothing. A peer that is unavailable by the
-  // view is away without being asked; of all others silence decides, as without a view.
+  // The state of one peer in the membership view, which is indexed by rank and may be empty. A peer that the
+  // view reports as unavailable is taken for unavailable without a query. All others, and all peers without a
+  // view, are judged by their replies.
   struct Seen {
-    bool unavailable = false;       // dead or leaving
+    bool unavailable = false;       // the peer is dead or leaving
     std::uint64_t incarnation = 0;  // in milliseconds; 0: never seen
     bool operator==(const Seen&) const = default;
   };
   void SetView(std::vector<Seen> view);
 
-  void Queue(int rank, const Record& record, Response response, TimePoint now);
+  void Queue(int rank, const Record& record, Reply reply, TimePoint now);
 
-  // A datagram of this peer has arrived. False where an incarnation that was replaced recently sent it.
+  // Records that a datagram from this peer has arrived. Returns false if the sender is not a peer, or if a
+  // recently replaced incarnation sent the datagram.
   [[nodiscard]] bool OnDatagram(int rank, std::uint64_t incarnation, TimePoint now);
 
-  // The peer is unavailable by the view, or several questions have gone unanswered for long enough.
-  [[nodiscard]] bool IsAway(int rank, TimePoint now) const;
-  // The last one heard of from the peer itself; 0: none.
+  // Returns whether the view reports the peer as unavailable, or several queries have had no reply for
+  // `peer_silent`.
+  [[nodiscard]] bool IsUnavailable(int rank, TimePoint now) const;
+  // Returns the incarnation in the peer's last datagram; 0: none has arrived.
   [[nodiscard]] std::uint64_t Incarnation(int rank) const;
-  // Whether the peer has restarted since this incarnation, by its own datagrams or by the view.
+  // Returns whether the peer has restarted since this incarnation, by its own datagrams or by the view.
   [[nodiscard]] bool HasRestarted(int rank, std::uint64_t incarnation) const;
 
-  // Calls `send(rank, bytes)` for each datagram that the pace allows by now.
+  // Calls `send(rank, bytes)` for each datagram that the rate limit allows by now.
   template <typename Send>
   void Flush(TimePoint now, Send send) {
     for (int rank = 0; rank < static_cast<int>(peers_.size()); ++rank) {
       while (std::optional<std::string> bytes = NextDatagram(rank, now)) send(rank, std::move(*bytes));
     }
   }
-  // When Flush is due next; nothing: nothing is queued.
+  // Returns when Flush is due next, or nullopt if no record is queued.
   [[nodiscard]] std::optional<TimePoint> NextFlush() const;
 
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
@@ -68,7 +70,7 @@
  private:
   struct QueuedRecord {
     std::string bytes;
-    Response response = Response::kNone;
+    Reply reply = Reply::kNone;
   };
   struct Peer {
     std::uint64_t incarnation = 0;
@@ -76,7 +78,7 @@
     std::deque<QueuedRecord> queue;
     double tokens = 1;  // datagrams that may be sent now
     TimePoint refilled{0};
-    int unanswered = 0;  // datagrams that expected a response since the last one arrived
+    int unanswered = 0;  // datagrams that expect a reply, sent since the peer's last datagram arrived
     TimePoint unanswered_since{0};
     TimePoint last_sent{0};
   };
--- a/src/idempotency/replica.cpp
+++ b/src/idempotency/replica.cpp
@@ -49,7 +49,7 @@
 
 const Counts& IdempotencyReplica::counts() {
   counts_.records_dropped = peers_.dropped();
-  counts_.values_evicted = store_.answers_evicted() + values_never_stored_;
+  counts_.values_evicted = store_.responses_evicted() + responses_never_stored_;
   return counts_;
 }
 
@@ -76,9 +76,9 @@
   if (entry.fingerprint != request.fingerprint) {
     return actions_.Fail(waiter, FailureReason::kFingerprintMismatch);
   }
-  if (entry.has_answer) {
+  if (entry.has_response) {
     ++counts_.replayed;
-    return actions_.Complete(waiter, std::make_shared<std::string>(entry.answer));
+    return actions_.Complete(waiter, std::make_shared<std::string>(entry.response));
   }
   if (entry.waiters.size() >= limits_.max_waiters || !store_.AddWaiter(entry, waiter)) {
     ++counts_.full_rejected;
@@ -88,7 +88,7 @@
   store_.Reschedule(entry);
 }
 
-// One more waits for this key: what that starts depends on the key's state.
+// Handles a new waiter for this key; the next step depends on the key's state.
 void IdempotencyReplica::JoinWaiters(Entry& entry, TimePoint now) {
   switch (entry.state) {
     case KeyState::kNew:
@@ -97,7 +97,7 @@
     case KeyState::kRunning:
       ++counts_.joined;
       return;
-    case KeyState::kAnswered:
+    case KeyState::kCompleted:
     case KeyState::kUnknownOutcome:
       return runner_.Resume(entry, now);
     case KeyState::kClaimedByPeer:
@@ -119,7 +119,7 @@
   if (group) entry->group = group->id;
   entry->sent = now;
   entry->expires = now + limits_.keep;
-  if (claims_.StartClaim(*entry, now) == EntryFate::kPresent) store_.Reschedule(*entry);
+  if (claims_.StartClaim(*entry, now) == EntryStatus::kPresent) store_.Reschedule(*entry);
 }
 
 Entry* IdempotencyReplica::AddEntry(const KeyedRequest& request, const Waiter& waiter) {
@@ -152,7 +152,7 @@
       OnServed(*entry, std::move(value), now);
       break;
     case WorkResult::kRejected:
-      OnNeverRan(*entry, retry_after, now);
+      OnRejected(*entry, retry_after, now);
       break;
     case WorkResult::kFailed:
       OnFailed(*entry, waiter, now);
@@ -164,30 +164,30 @@
 void IdempotencyReplica::OnServed(Entry& entry, std::string value, TimePoint now) {
   entry.executed = true;
   entry.Apply(KeyEvent::kServed);
-  if (value.size() <= kMaxAnswer && store_.ReserveAnswer(entry, value.size())) {
-    entry.answer.assign(value);
-    store_.CommitAnswer(entry);
+  if (value.size() <= kMaxResponseBytes && store_.ReserveResponse(entry, value.size())) {
+    entry.response.assign(value);
+    store_.CommitResponse(entry);
   } else {
-    ++values_never_stored_;
+    ++responses_never_stored_;
   }
   claims_.AnnounceOutcome(entry, now);
   actions_.CompleteAll(entry, std::move(value));
   store_.Reschedule(entry);
 }
 
-void IdempotencyReplica::OnNeverRan(Entry& entry, Duration retry_after, TimePoint now) {
+void IdempotencyReplica::OnRejected(Entry& entry, Duration retry_after, TimePoint now) {
   if (!entry.running.resumed) {
     actions_.RejectAll(entry, retry_after);
     return claims_.CancelClaim(entry, now);
   }
-  LoseOutcome(entry, now);
+  RecordLostOutcome(entry, now);
   actions_.RejectAll(entry, retry_after);
   store_.Reschedule(entry);
 }
 
-// The waiter whose request it was has had its time; the others have time left, and the work is resumed.
+// Fails the waiter whose request failed, and resumes the work for the others, which may have time left.
 void IdempotencyReplica::OnFailed(Entry& entry, WaiterId waiter, TimePoint now) {
-  LoseOutcome(entry, now);
+  RecordLostOutcome(entry, now);
   const auto own = std::find_if(entry.waiters.begin(), entry.waiters.end(),
                                 [waiter](const Waiter& candidate) { return candidate.id == waiter; });
   const Waiter failed = *own;
@@ -197,12 +197,12 @@
   store_.Reschedule(entry);
 }
 
-void IdempotencyReplica::LoseOutcome(Entry& entry, TimePoint now) {
+void IdempotencyReplica::RecordLostOutcome(Entry& entry, TimePoint now) {
   entry.Apply(entry.executed ? KeyEvent::kAnswerLost : KeyEvent::kOutcomeLost);
   claims_.AnnounceOutcome(entry, now);
 }
 
-// ---- A client leaves ----
+// ---- A client disconnects ----
 
 Actions IdempotencyReplica::OnClientDisconnect(WaiterId id, TimePoint now) {
   actions_.Clear();
@@ -239,13 +239,13 @@
   return Finish(now);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 Actions IdempotencyReplica::Tick(TimePoint now) {
   actions_.Clear();
   while (Entry* const entry = store_.NextDue()) {
     if (entry->due > now) break;
-    Attend(*entry, now);
+    ProcessDue(*entry, now);
   }
   return Finish(now);
 }
@@ -257,39 +257,39 @@
   return next == TimePoint::max() ? std::nullopt : next;
 }
 
-// Does whatever is due for a key: deadlines, its expiry, questions to peers.
-void IdempotencyReplica::Attend(Entry& entry, TimePoint now) {
-  if (ExpireWaiters(entry, now) == EntryFate::kRemoved) return;
+// Processes what is due for a key: its waiters' deadlines, its expiry, and queries to peers.
+void IdempotencyReplica::ProcessDue(Entry& entry, TimePoint now) {
+  if (ExpireWaiters(entry, now) == EntryStatus::kRemoved) return;
   if (entry.state != KeyState::kRunning && now >= entry.expires) return Expire(entry, now);
   if (now >= entry.next_attempt) {
     if (entry.state == KeyState::kClaiming) {
-      if (claims_.RetryClaim(entry, now) == EntryFate::kRemoved) return;
+      if (claims_.RetryClaim(entry, now) == EntryStatus::kRemoved) return;
     } else if (entry.state == KeyState::kClaimedByPeer && !entry.waiters.empty()) {
-      PollHolder(entry, now);
+      RetryHolderRequest(entry, now);
     }
   }
   store_.Reschedule(entry);
 }
 
-// Every waiter has a deadline of its own; the end of the one whose request runs comes from the caller.
-EntryFate IdempotencyReplica::ExpireWaiters(Entry& entry, TimePoint now) {
+// Ends the waiters whose deadline has passed, except the one whose request runs: the caller reports its end.
+EntryStatus IdempotencyReplica::ExpireWaiters(Entry& entry, TimePoint now) {
   for (std::size_t i = entry.waiters.size(); i-- > 0;) {
     const Waiter waiter = entry.waiters[i];
     if (waiter.deadline > now || entry.IsRunning(waiter.id)) continue;
     store_.RemoveWaiter(entry, waiter.id);
     if (entry.state == KeyState::kClaiming) {
-      actions_.Reject(waiter, kVoteMissingRetryAfter);  // nothing was sent
+      actions_.Reject(waiter, kVoteMissingRetryAfter);  // no request was sent to an upstream
     } else {
       actions_.Fail(waiter, entry.LossReason());
     }
   }
-  if (!entry.waiters.empty()) return EntryFate::kPresent;
+  if (!entry.waiters.empty()) return EntryStatus::kPresent;
   if (entry.state == KeyState::kClaiming) {
     claims_.CancelClaim(entry, now);
-    return EntryFate::kRemoved;
+    return EntryStatus::kRemoved;
   }
   fetcher_.Cancel(entry);
-  return EntryFate::kPresent;
+  return EntryStatus::kPresent;
 }
 
 void IdempotencyReplica::Expire(Entry& entry, TimePoint now) {
@@ -298,7 +298,7 @@
   store_.Remove(entry);
 }
 
-void IdempotencyReplica::PollHolder(Entry& entry, TimePoint now) {
+void IdempotencyReplica::RetryHolderRequest(Entry& entry, TimePoint now) {
   if (entry.assembly.active && !claims_.IsHolderLost(entry, now)) return fetcher_.Request(entry, now);
   fetcher_.Cancel(entry);
   claims_.QueryHolder(entry, now);
--- a/src/idempotency/replica.h
+++ b/src/idempotency/replica.h
@@ -1,35 +1,35 @@
-// Recognises repeats of requests with an idempotency key: decides which request is started, which waits for
-// another's answer, and which gets an answer that is stored already. Free of I/O and clock: the caller hands
-// in the time, executes the actions, and reports what came of them. docs/idempotency-design.md weighs the
-// design; docs/idempotency.md is the operators' page.
+// Recognises repeats of requests with an idempotency key. The replica decides which request is started, which
+// waits for another request's response, and which receives a stored response. It does no I/O and reads no
+// clock: the caller passes the time, executes the actions, and reports their results.
+// docs/idempotency-design.md explains the design; docs/idempotency.md is the operators' page.
 //
-// Promise: of all requests under one key that reach the gateways of a group within `keep` of the first, no
+// Guarantee: of all requests with one key that reach the gateways of a group within `keep` of the first, no
 // two are sent where both could be executed, as long as (a) the key's holder or a replica that recorded its
-// claim lives, and (b) the upstreams of a group drop repeats for the class's deduplication window. What holds
-// when either fails is in docs/idempotency.md.
+// claim is alive, and (b) the upstreams of a group drop repeats for the class's deduplication window.
+// docs/idempotency.md describes what holds if either condition fails.
 //
-// A key's life (the states and transitions are the table in key_state.h):
+// How the replica handles a key (the table in key_state.h lists the states and transitions):
 //
-//   state           event                           what is done
-//   none            request, room                   claim the key at its replicas; start where there are none
-//   none            request, no room                reject, or start unprotected
-//   claiming        all replicas granted            start
-//   claiming        a replica names a holder        query the holder
-//   claiming        no room at a replica, time out  reject; withdraw the claim
-//   claiming        a preceding claim of a peer     grant it; withdraw our own
-//   claiming, running   repeat                      it waits
-//   running         served                          complete all waiters
-//   running         rejected, first attempt         reject all waiters; withdraw the claim and forget the key
-//   running         rejected, resumed attempt       reject all waiters
-//   running         failed                          fail its own waiter; resume for the others
-//   running         a waiter's deadline             fail it: outcome unknown; the work goes on
-//   answered        repeat                          complete it; where the answer was evicted, resume
-//   unknown         repeat                          resume: send to the same group within the window, else
-//   fail held by peer    repeat                          query the holder until its work ends; then fetch the
-//   answer,
-//                                                   or resume where there is none or the holder is gone
-//   any             request, other fingerprint      fail it: fingerprint mismatch
-//   all but running expiry                          forget the key
+//   state              event                       reaction
+//   none               request, capacity           claim the key at its replicas; start if there are none
+//   none               request, no capacity        reject, or start without deduplication
+//   claiming           all replicas granted        start
+//   claiming           a replica names a holder    query the holder
+//   claiming           a replica has no capacity   as for a full store; withdraw the claim
+//   claiming           a waiter's deadline         reject it; after the last waiter, withdraw the claim
+//   claiming           a preceding peer claim      grant it; withdraw this gateway's claim
+//   claiming, running  repeat                      the repeat waits
+//   running            served                      complete all waiters
+//   running            rejected, first attempt     reject all waiters; withdraw the claim, remove the key
+//   running            rejected, resumed           reject all waiters
+//   running            failed                      fail the attempt's waiter; resume for the others
+//   running            a waiter's deadline         fail it (unknown outcome); the work continues
+//   completed          repeat                      complete it; resume if the response was evicted
+//   unknown outcome    repeat                      within the window resume in the same group, else fail
+//   claimed by peer    repeat                      query the holder; after its work, fetch the response
+//   claimed by peer    no response, or holder lost resume
+//   any                request, other fingerprint  fail it: fingerprint mismatch
+//   all but running    expiry                      remove the key
 #ifndef POSTSPREAD_IDEMPOTENCY_REPLICA_H_
 #define POSTSPREAD_IDEMPOTENCY_REPLICA_H_
 
@@ -62,44 +62,46 @@
  public:
   using Identity = GatewayIdentity;
   IdempotencyReplica(const Limits& limits, const Identity& identity, TimePoint now);
-  // Its parts refer to each other.
+  // The members hold references to each other, so the replica cannot be copied.
   IdempotencyReplica(const IdempotencyReplica&) = delete;
   IdempotencyReplica& operator=(const IdempotencyReplica&) = delete;
 
-  // Applies new limits, but for `enabled` and `memory`.
+  // Applies new limits, except `enabled` and `memory`.
   void SetLimits(const Limits& limits);
   // See Peers::SetView.
   void SetView(std::vector<Peers::Seen> view) { peers_.SetView(std::move(view)); }
-  // The groups that the endpoint list shows now.
+  // Sets the groups of the current endpoint list.
   void SetUpstreamGroups(std::vector<UpstreamGroup> groups) { groups_ = std::move(groups); }
 
   Actions Begin(const KeyedRequest& request, TimePoint now);
-  // The request started for this waiter has ended; `value` with kServed, `retry_after` with kRejected.
+  // Handles the end of the request that was started for this waiter. `value` is given with kServed,
+  // `retry_after` with kRejected.
   Actions OnWorkFinished(WaiterId waiter, WorkResult result, std::string value, Duration retry_after,
                          TimePoint now);
-  // Nobody waits for this waiter's answer any more.
+  // Handles the disconnect of this waiter's client, which needs no response any more.
   Actions OnClientDisconnect(WaiterId waiter, TimePoint now);
-  // A datagram has arrived from the peer of this rank.
+  // Handles a datagram from the peer of this rank.
   Actions Received(int from, std::string_view datagram, TimePoint now);
-  // To be called by the time that NextTick names; nothing: no call is due.
+  // Runs the timers that are due. The caller calls it at the time that NextTick returns; nullopt means that
+  // no call is due.
   Actions Tick(TimePoint now);
   [[nodiscard]] std::optional<TimePoint> NextTick();
 
-  // Whether this waiter's request is the one that runs under its key, so that its end must be reported here.
+  // Returns whether this waiter's request is the one that runs for its key. The caller must report its end.
   [[nodiscard]] bool Runs(WaiterId waiter);
-  // Whether this waiter's request runs or waits here.
+  // Returns whether this waiter's request runs or waits in this replica.
   [[nodiscard]] bool IsTracking(WaiterId waiter) { return store_.FindByWaiter(waiter) != nullptr; }
 
   [[nodiscard]] const Counts& counts();
-  // Bytes of the store: in use, in use at most so far, and the bound.
+  // Return bytes of the store: currently in use, the maximum in use so far, and the limit.
   [[nodiscard]] std::size_t used() const { return store_.used(); }
   [[nodiscard]] std::size_t peak() const { return store_.peak(); }
   [[nodiscard]] std::size_t bound() const { return store_.bound(); }
-  // Keys.
+  // Returns the number of keys in the store.
   [[nodiscard]] std::size_t size() const { return store_.size(); }
 
  private:
-  // Sends what the pace to the peers allows, and returns the call's actions.
+  // Sends the datagrams that the rate limit allows, and returns the call's actions.
   Actions Finish(TimePoint now);
 
   void BeginNewKey(const KeyedRequest& request, const Waiter& waiter, TimePoint now);
@@ -109,23 +111,23 @@
   void OnStoreFull(const Waiter& waiter);
 
   void OnServed(Entry& entry, std::string value, TimePoint now);
-  void OnNeverRan(Entry& entry, Duration retry_after, TimePoint now);
+  void OnRejected(Entry& entry, Duration retry_after, TimePoint now);
   void OnFailed(Entry& entry, WaiterId waiter, TimePoint now);
-  void LoseOutcome(Entry& entry, TimePoint now);
+  void RecordLostOutcome(Entry& entry, TimePoint now);
 
-  void Attend(Entry& entry, TimePoint now);
-  [[nodiscard]] EntryFate ExpireWaiters(Entry& entry, TimePoint now);
+  void ProcessDue(Entry& entry, TimePoint now);
+  [[nodiscard]] EntryStatus ExpireWaiters(Entry& entry, TimePoint now);
   void Expire(Entry& entry, TimePoint now);
-  void PollHolder(Entry& entry, TimePoint now);
+  void RetryHolderRequest(Entry& entry, TimePoint now);
 
   Limits limits_;
   Counts counts_;
-  std::uint64_t values_never_stored_ = 0;
+  std::uint64_t responses_never_stored_ = 0;
   IdempotencyStore store_;
   Peers peers_;
   std::vector<UpstreamGroup> groups_;
   ActionWriter actions_;
-  AnswerFetcher fetcher_;
+  ResponseFetcher fetcher_;
   WorkRunner runner_;
   ClaimProtocol claims_;
   PeerMessageHandler messages_;
--- a/src/idempotency/store.cpp
+++ b/src/idempotency/store.cpp
@@ -6,18 +6,19 @@
 namespace postspread::idempotency {
 namespace {
 
-// Upper bounds of what one element takes of a container's node, the heap's overhead included.
+// Upper bounds for the memory of one container element, including the allocator's overhead.
 constexpr std::size_t kNodeBytes = 64;  // links, hash and alignment
 constexpr std::size_t kTimeIndexBytes = 3 * (kNodeBytes + 32);
 constexpr std::size_t kCustomerIndexBytes = kNodeBytes + 16;
 constexpr std::size_t kEntryBytes = sizeof(Entry) + kNodeBytes + 16 + kTimeIndexBytes + kCustomerIndexBytes;
 constexpr std::size_t kWaiterIndexBytes = kNodeBytes + 24;
 constexpr std::size_t kWaiterBytes = sizeof(Waiter) + kWaiterIndexBytes;
-// Of a vector or string that grows: the heap's overhead, twice while it is copied.
+// The allocator's overhead for a vector or string that grows. It counts twice, because the old block and the
+// new one both exist during the copy.
 constexpr std::size_t kGrowthBytes = 32;
 
-// The hash tables get their buckets once, for as many elements as there can ever be: a table that grew would
-// hold its old and its new buckets at once, past any bound.
+// The hash tables allocate their buckets once, for the maximum number of elements: a table that grew would
+// hold its old and its new buckets at the same time and exceed the memory limit.
 constexpr std::size_t kBucketBytes = std::size_t{6} * sizeof(void*);
 
 }  // namespace
@@ -30,8 +31,8 @@
       waiters_(&memory_),
       customer_bytes_(&memory_),
       due_(&memory_),
-      answered_(&memory_),
-      answered_by_customer_(&memory_) {
+      responses_by_age_(&memory_),
+      responses_by_customer_(&memory_) {
   entries_.reserve(max_entries_);
   waiters_.reserve(max_entries_);
   customer_bytes_.reserve(max_entries_);
@@ -47,7 +48,7 @@
   return found == waiters_.end() ? nullptr : Find(found->second);
 }
 
-// ---- Room ----
+// ---- Capacity ----
 
 std::size_t IdempotencyStore::BytesOf(std::uint32_t customer) const {
   const auto found = customer_bytes_.find(customer);
@@ -67,8 +68,8 @@
 
 bool IdempotencyStore::EvictUntilFits(std::size_t bytes) {
   while (memory_.used() + bytes > memory_limit_) {
-    if (answered_.empty()) return false;
-    DropAnswer(*Find(answered_.begin()->key));
+    if (responses_by_age_.empty()) return false;
+    DropResponse(*Find(responses_by_age_.begin()->key));
   }
   return true;
 }
@@ -76,9 +77,9 @@
 bool IdempotencyStore::EvictUntilWithinQuota(std::uint32_t customer, std::size_t bytes) {
   const auto quota = static_cast<std::size_t>(customer_quota_ * static_cast<double>(memory_limit_));
   while (BytesOf(customer) + bytes > quota) {
-    const auto oldest = answered_by_customer_.lower_bound({customer, TimePoint::min(), KeyId{}});
-    if (oldest == answered_by_customer_.end() || oldest->customer != customer) return false;
-    DropAnswer(*Find(oldest->key));
+    const auto oldest = responses_by_customer_.lower_bound({customer, TimePoint::min(), KeyId{}});
+    if (oldest == responses_by_customer_.end() || oldest->customer != customer) return false;
+    DropResponse(*Find(oldest->key));
   }
   return true;
 }
@@ -98,7 +99,7 @@
 void IdempotencyStore::Remove(Entry& entry) {
   for (const Waiter& waiter : entry.waiters) waiters_.erase(waiter.id);
   Refund(entry, entry.waiters.capacity() * kWaiterBytes);
-  ReleaseAnswer(entry);
+  ReleaseResponse(entry);
   Refund(entry, kEntryBytes);
   due_.erase({entry.due, entry.key});
   entries_.erase(entry.key);
@@ -111,7 +112,7 @@
     const std::size_t larger = std::max<std::size_t>(1, capacity * 2);
     const std::size_t added = larger - capacity;
     if (!EvictUntilWithinQuota(entry.customer, added * kWaiterBytes)) return false;
-    // The vector's old block and its new one exist together while it grows.
+    // The vector's old block and its new one exist at the same time while the vector grows.
     if (!EvictUntilFits(larger * sizeof(Waiter) + added * kWaiterIndexBytes + kGrowthBytes)) return false;
     entry.waiters.reserve(larger);
     Charge(entry, added * kWaiterBytes);
@@ -136,42 +137,42 @@
   return out;
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
-bool IdempotencyStore::ReserveAnswer(Entry& entry, std::size_t size) {
-  if (entry.answer.capacity() >= size) return true;
-  ReleaseAnswer(entry);
+bool IdempotencyStore::ReserveResponse(Entry& entry, std::size_t size) {
+  if (entry.response.capacity() >= size) return true;
+  ReleaseResponse(entry);
   if (!EvictUntilWithinQuota(entry.customer, size + kGrowthBytes) || !EvictUntilFits(size + kGrowthBytes)) {
     return false;
   }
-  entry.answer.reserve(size);
-  Charge(entry, entry.answer.capacity());
+  entry.response.reserve(size);
+  Charge(entry, entry.response.capacity());
   return true;
 }
 
-void IdempotencyStore::CommitAnswer(Entry& entry) {
-  entry.has_answer = true;
-  answered_.insert({entry.sent, entry.key});
-  answered_by_customer_.insert({entry.customer, entry.sent, entry.key});
+void IdempotencyStore::CommitResponse(Entry& entry) {
+  entry.has_response = true;
+  responses_by_age_.insert({entry.sent, entry.key});
+  responses_by_customer_.insert({entry.customer, entry.sent, entry.key});
 }
 
-void IdempotencyStore::ReleaseAnswer(Entry& entry) {
-  static const std::size_t kInlineBytes = std::pmr::string().capacity();  // stored in the string object
-  if (entry.has_answer) {
-    answered_.erase({entry.sent, entry.key});
-    answered_by_customer_.erase({entry.customer, entry.sent, entry.key});
+void IdempotencyStore::ReleaseResponse(Entry& entry) {
+  static const std::size_t kInlineCapacity = std::pmr::string().capacity();  // stored in the string object
+  if (entry.has_response) {
+    responses_by_age_.erase({entry.sent, entry.key});
+    responses_by_customer_.erase({entry.customer, entry.sent, entry.key});
   }
-  if (entry.answer.capacity() > kInlineBytes) Refund(entry, entry.answer.capacity());
-  std::pmr::string(&memory_).swap(entry.answer);
-  entry.has_answer = false;
+  if (entry.response.capacity() > kInlineCapacity) Refund(entry, entry.response.capacity());
+  std::pmr::string(&memory_).swap(entry.response);
+  entry.has_response = false;
 }
 
-void IdempotencyStore::DropAnswer(Entry& entry) {
-  if (entry.has_answer) ++answers_evicted_;
-  ReleaseAnswer(entry);
+void IdempotencyStore::DropResponse(Entry& entry) {
+  if (entry.has_response) ++responses_evicted_;
+  ReleaseResponse(entry);
 }
 
-// ---- Times ----
+// ---- Timers ----
 
 void IdempotencyStore::Reschedule(Entry& entry) {
   const TimePoint due = entry.NextDue();
--- a/src/idempotency/wire.cpp
+++ b/src/idempotency/wire.cpp
@@ -13,7 +13,7 @@
 template <typename T>
 constexpr bool kIsNumber = std::is_integral_v<T> || std::is_enum_v<T>;
 
-// Writer and Reader have one interface, `Code(members...)`, so that each record lists its members once.
+// Writer and Reader share the interface `Code(members...)`, so that each record lists its members once.
 class Writer {
  public:
   template <typename... Members>
@@ -50,7 +50,7 @@
     (Read(members), ...);
   }
   [[nodiscard]] std::string_view rest() const { return rest_; }
-  // False once more was read than there is.
+  // Returns false after a read beyond the end of the bytes.
   [[nodiscard]] bool ok() const { return ok_; }
 
  private:
@@ -86,7 +86,7 @@
   bool ok_ = true;
 };
 
-// Each record's members on the wire, for both directions.
+// Encodes or decodes a record's members in their order on the wire.
 template <typename Codec, typename R>
 void CodeMembers(Codec& codec, R& record) {
   using T = std::remove_const_t<R>;
@@ -128,7 +128,7 @@
   return true;
 }
 
-// Of everything behind the magic but the checksum itself.
+// Returns the checksum of everything after the magic except the checksum itself.
 std::uint32_t ChecksumOf(const Header& header, std::string_view records) {
   Writer writer;
   writer.Code(header.rank, header.incarnation);
--- a/src/idempotency/work_runner.h
+++ b/src/idempotency/work_runner.h
@@ -1,4 +1,5 @@
-// Starts the work on keys here: first attempts, and attempts after one that may have run.
+// Starts the work on keys on this gateway: first attempts, and attempts after one that may have been
+// executed.
 #ifndef POSTSPREAD_IDEMPOTENCY_WORK_RUNNER_H_
 #define POSTSPREAD_IDEMPOTENCY_WORK_RUNNER_H_
 
@@ -13,21 +14,22 @@
 
 class WorkRunner {
  public:
-  WorkRunner(const Limits& limits, AnswerFetcher& fetcher, ActionWriter& actions, Counts& counts)
+  WorkRunner(const Limits& limits, ResponseFetcher& fetcher, ActionWriter& actions, Counts& counts)
       : limits_(limits), fetcher_(fetcher), actions_(actions), counts_(counts) {}
 
-  // The claim of this key is granted: starts the first attempt.
+  // Starts the first attempt, after the claim of this key was granted.
   void StartFirstAttempt(Entry& entry, TimePoint now);
-  // The work may have run and its answer is out of reach. As long as the upstreams still drop repeats, one
-  // more attempt may go to the same group; after that the waiters fail, for it could be executed twice.
+  // Handles work that may have been executed and whose response is not available. Within the deduplication
+  // window it sends another attempt to the same group. After the window it fails the waiters, because another
+  // attempt could be executed twice.
   void Resume(Entry& entry, TimePoint now);
 
  private:
-  // With the request of the waiter that can wait longest.
+  // Starts an attempt with the request of the waiter that has the latest deadline.
   void Start(Entry& entry, TimePoint now);
 
   const Limits& limits_;
-  AnswerFetcher& fetcher_;
+  ResponseFetcher& fetcher_;
   ActionWriter& actions_;
   Counts& counts_;
 };
