--- a/src/model/load_report.h
+++ b/src/model/load_report.h
@@ -1,10 +1,10 @@
-// What an upstream reports with a response: its load, and the usage that it metered.
+// Values that an upstream reports with a response: its load, and the customer's metered usage.
 #ifndef POSTSPREAD_MODEL_LOAD_REPORT_H_
 #define POSTSPREAD_MODEL_LOAD_REPORT_H_
 
 namespace postspread {
 
-// A figure that the upstream did not report is below 0.
+// The load of an upstream. A value below 0 means that the upstream did not report it.
 struct UpstreamLoad {
   double outstanding = -1.0;
   double queue = -1.0;
@@ -14,11 +14,12 @@
   double errors_per_second = -1.0;
 };
 
-// What a response says of its customer's usage and of the request's true cost.
+// The customer's usage and the actual cost of the request, as an upstream reports them with its response.
 struct ReportedUsage {
-  double percent = -1.0;    // of the customer's rate, used over all gateways of late; below 0: not reported
-  double units = 0.0;       // true cost of the request; 0: not reported
-  bool unreadable = false;  // a usage figure could not be parsed, and was skipped
+  // The customer's recent usage over all gateways, where 100 is its whole rate; below 0: not reported.
+  double percent = -1.0;
+  double units = 0.0;       // The actual cost of the request; 0: not reported.
+  bool unreadable = false;  // A usage value could not be parsed and was skipped.
 };
 
 }  // namespace postspread
--- a/src/model/request.h
+++ b/src/model/request.h
@@ -1,4 +1,4 @@
-// One request as the decision module sees it, whatever protocol it arrived by.
+// One client request in the form that the planner takes, independent of the client's protocol.
 #ifndef POSTSPREAD_MODEL_REQUEST_H_
 #define POSTSPREAD_MODEL_REQUEST_H_
 
@@ -8,24 +8,26 @@
 
 namespace postspread {
 
-// Assigned by the planner and never reused; a client's own id may name several requests.
+// The planner assigns each request a unique id. An id that a client chooses may name several requests.
 using RequestId = std::uint64_t;
 
 // Attempts of one request are numbered 0, 1, ... in the order in which they start.
 using AttemptNumber = int;
 
-// The text members are slices of the received message, valid for the call that the request is passed to.
+// The text members refer to the received message. They are valid only during the call that takes the request.
 struct Request {
   std::string_view class_name{};
   std::string_view plan{};
   std::string_view customer{};
-  std::chrono::milliseconds timeout{0};  // how long the client waits for the response
+  std::chrono::milliseconds timeout{0};  // The client waits this long for the response.
   double units = 1.0;
-  int spread = 1;         // gateways that serve the customer: this many consecutive ranks ...
-  int first = 0;          // ... starting at this one, modulo the group size
-  bool is_retry = false;  // the client says that it retries
+  // The gateways that serve the customer have `spread` consecutive ranks from `first` on, modulo the group
+  // size.
+  int spread = 1;
+  int first = 0;
+  bool is_retry = false;  // The client marked the request as a retry.
   bool is_write = false;
-  std::string_view key{};  // idempotency key; empty: its class has none
+  std::string_view key{};  // The idempotency key; empty if the class uses none.
   std::string_view body{};
 };
 
--- a/src/model/upstream.h
+++ b/src/model/upstream.h
@@ -1,4 +1,4 @@
-// Upstreams as discovery lists them: value types shared by the configuration, the planner and the network.
+// Upstreams as discovery lists them. The configuration, the planner and the network code share these types.
 #ifndef POSTSPREAD_MODEL_UPSTREAM_H_
 #define POSTSPREAD_MODEL_UPSTREAM_H_
 
@@ -14,16 +14,16 @@
   std::string name;
   std::string zone;
   std::string kind;
-  std::int64_t cell = 0;  // upstreams of one cell may share idempotency keys
+  std::int64_t cell = 0;  // Upstreams of one cell may share idempotency keys.
   UpstreamState state = UpstreamState::kReady;
   double weight = 1.0;
-  std::chrono::milliseconds started{0};  // since the Unix epoch; 0: long ago
+  std::chrono::milliseconds started{0};  // The start time since the Unix epoch; 0: long ago.
 };
 
 enum class EndpointUpdateKind {
-  kPersisted,  // the list stored in the configuration; discovery has not confirmed it
-  kSnapshot,   // the complete list
-  kChanges,    // only the entries that changed
+  kPersisted,  // The list stored in the configuration, which discovery has not confirmed.
+  kSnapshot,   // The complete list.
+  kChanges,    // Only the entries that changed.
 };
 
 }  // namespace postspread
--- a/src/planner/class_slots.cpp
+++ b/src/planner/class_slots.cpp
@@ -20,11 +20,11 @@
   for (ClassSettings& slot : current) {
     if (FindByName(next, slot.name) == next.end()) slot = ClassSettings{};
   }
-  for (ClassSettings& added : next) {
-    auto slot = FindByName(current, added.name);
+  for (ClassSettings& class_settings : next) {
+    auto slot = FindByName(current, class_settings.name);
     if (slot == current.end()) slot = FindByName(current, "");
     if (slot == current.end()) slot = current.emplace(slot);
-    *slot = std::move(added);
+    *slot = std::move(class_settings);
   }
   return current;
 }
--- a/src/planner/class_slots.h
+++ b/src/planner/class_slots.h
@@ -1,5 +1,6 @@
-// Classes across a reconfiguration. Requests in flight know their class by its slot (the index in
-// Settings::classes) in the planner, the controller and the idempotency store, so a class keeps its slot.
+// Assignment of classes to slots during a reconfiguration. A slot is an index into Settings::classes.
+// Requests in flight refer to their class by its slot in the planner, the controller and the idempotency
+// store, so a class must keep its slot.
 #ifndef POSTSPREAD_PLANNER_CLASS_SLOTS_H_
 #define POSTSPREAD_PLANNER_CLASS_SLOTS_H_
 
@@ -9,8 +10,9 @@
 
 namespace postspread::planner {
 
-// Returns `next` in the slots of `current`: a class of the same name keeps its slot, one that was removed
-// leaves its slot without a name, and a new one takes such a slot before another is added.
+// Returns the classes of `next`, placed in the slots of `current`. A class whose name is in both keeps its
+// slot. The slot of a removed class becomes unused, with an empty name. A new class takes the first unused
+// slot, or a new slot at the end if there is none.
 std::vector<ClassSettings> MergeClassSlots(std::vector<ClassSettings> current,
                                            std::vector<ClassSettings> next);
 
--- a/src/planner/controller_adapter.cpp
+++ b/src/planner/controller_adapter.cpp
@@ -26,15 +26,15 @@
 }
 
 void ControllerAdapter::Begin(RequestEvent event, TimePoint now) {
-  attempts_.emplace(event.id, 0);
+  next_attempts_.emplace(event.id, 0);
   if (usage_ != nullptr) event.demand = usage_->Demand(event.customer, now);
   Handle(std::move(event), now);
 }
 
 void ControllerAdapter::On(AttemptReport&& report, TimePoint now) {
-  if (report.result == AttemptResult::kSucceeded) attempts_.erase(report.request);
+  if (report.result == AttemptResult::kSucceeded) next_attempts_.erase(report.request);
   OutcomeEvent event = ToEvent(std::move(report), settings_);
-  event.final = !attempts_.contains(event.id);
+  event.final = !next_attempts_.contains(event.id);
   Handle(std::move(event), now);
 }
 
@@ -49,31 +49,32 @@
 }
 
 void ControllerAdapter::On(const ClientDisconnected& report, TimePoint now) {
-  attempts_.erase(report.request);
+  next_attempts_.erase(report.request);
   Handle(ClientDisconnectedEvent{report.request}, now);
 }
 
 void ControllerAdapter::RunTimers(TimePoint now) {
-  // A timer that is set by a timer waits for the next call, however soon it is due, so that this one ends.
+  // Timers that are set during this call wait for the next one, even if they are due already. Otherwise
+  // timers that set new ones could keep the loop running forever.
   const TimerQueue::Sequence end = timers_.next_sequence();
   while (const std::optional<std::uint64_t> token = timers_.PopDue(now, end)) Handle(TimerEvent{*token}, now);
 }
 
 void ControllerAdapter::Translate(postspread::Send&& action, TimePoint) {
-  const auto next = attempts_.find(action.id);
-  const AttemptNumber attempt = next == attempts_.end() ? 0 : next->second++;
+  const auto next = next_attempts_.find(action.id);
+  const AttemptNumber attempt = next == next_attempts_.end() ? 0 : next->second++;
   actions_.emplace_back(
       StartAttempt{action.id, attempt, std::move(action.server), action.timeout, action.begin_within});
 }
 
 void ControllerAdapter::Translate(postspread::Reject&& action, TimePoint) {
-  attempts_.erase(action.id);
+  next_attempts_.erase(action.id);
   if (interceptor_.InterceptRejection(action.id, action.retry_after)) return;
   actions_.emplace_back(RejectWithRetryAfter{action.id, action.retry_after});
 }
 
 void ControllerAdapter::Translate(postspread::Fail&& action, TimePoint) {
-  attempts_.erase(action.id);
+  next_attempts_.erase(action.id);
   if (interceptor_.InterceptFailure(action.id)) return;
   actions_.emplace_back(FailRequest{action.id});
 }
@@ -94,7 +95,7 @@
   actions_.emplace_back(StartHealthCheck{std::move(action.server)});
 }
 
-// The watch of discovery runs from the start in any case.
+// The gateway watches discovery from its start, so a subscription needs no action.
 void ControllerAdapter::Translate(postspread::Subscribe&&, TimePoint) {}
 
 void ControllerAdapter::Translate(postspread::ObservedUsage&& action, TimePoint now) {
--- a/src/planner/controller_adapter.h
+++ b/src/planner/controller_adapter.h
@@ -1,5 +1,6 @@
-// Runs the controller: what happened becomes its events, what it decides becomes the planner's actions. Owns
-// its timers and the numbers of attempts.
+// Connects the planner to the controller: translates requests and reports into the controller's events, and
+// its decisions into the planner's actions. Owns the controller, its timers and the attempt numbers of
+// requests.
 #ifndef POSTSPREAD_PLANNER_CONTROLLER_ADAPTER_H_
 #define POSTSPREAD_PLANNER_CONTROLLER_ADAPTER_H_
 
@@ -15,11 +16,11 @@
 
 namespace postspread::planner {
 
-// Asked before a request's negative final response goes out, as others may wait for the end of its work under
-// the same idempotency key.
+// ControllerAdapter calls this interface before a request gets a rejection or a failure as its final
+// response, because other requests with the same idempotency key may be waiting for its result.
 class FinalResponseInterceptor {
  public:
-  // Each returns whether it took the end over: no final response is sent for it then.
+  // Each returns true if the interceptor handles the result itself; the adapter then sends no final response.
   virtual bool InterceptRejection(RequestId request, Duration retry_after) = 0;
   virtual bool InterceptFailure(RequestId request) = 0;
 
@@ -29,14 +30,15 @@
 
 class ControllerAdapter {
  public:
-  // All references, and `usage` (null: usage is not broadcast), outlive this.
+  // All references, and `usage` unless it is null, must outlive the adapter. A null `usage` disables the
+  // usage broadcast.
   ControllerAdapter(const Settings& settings, std::uint64_t seed, TimePoint now, UsageAdapter* usage,
                     FinalResponseInterceptor& interceptor, std::vector<Action>& actions);
 
-  // The settings have changed.
+  // Must be called after the settings have changed.
   void Reconfigure() { controller_.Reconfigure(settings_); }
 
-  // A request has arrived. Its customer's demand is filled in here.
+  // Handles a new request. The adapter fills in its customer's demand.
   void Begin(RequestEvent event, TimePoint now);
 
   void On(AttemptReport&& report, TimePoint now);
@@ -45,7 +47,7 @@
   void On(HealthCheckReport&& report, TimePoint now);
   void On(const ClientDisconnected& report, TimePoint now);
 
-  // Runs the timers that are due, but for those that they set in their turn.
+  // Runs the timers that are due, except for timers that are set during this call.
   void RunTimers(TimePoint now);
   [[nodiscard]] std::optional<TimePoint> NextTimer() const { return timers_.NextDue(); }
 
@@ -69,10 +71,10 @@
   UsageAdapter* usage_;
   FinalResponseInterceptor& interceptor_;
   std::vector<Action>& actions_;
-  std::unordered_map<RequestId, AttemptNumber>
-      attempts_;  // next number, of requests without a final response
+  // The next attempt number of each request without a final response.
+  std::unordered_map<RequestId, AttemptNumber> next_attempts_;
   TimerQueue timers_;
-  std::vector<postspread::Action> decisions_;  // kept for its memory
+  std::vector<postspread::Action> decisions_;  // A member, so that calls reuse its memory.
 };
 
 }  // namespace postspread::planner
--- a/src/planner/event_translation.cpp
+++ b/src/planner/event_translation.cpp
@@ -8,7 +8,8 @@
 namespace postspread::planner {
 namespace {
 
-// Of a client's timeout: the request's way in and the response's way back, also between zones.
+// The part of a client's timeout that is reserved for the network round trip between client and gateway,
+// which may be in different zones.
 constexpr std::chrono::milliseconds kNetworkMargin{10};
 
 Outcome ToOutcome(AttemptResult result) {
@@ -107,7 +108,7 @@
   event.outcome = ToOutcome(report.result);
   event.elapsed = report.elapsed;
   event.load = ToLoadReport(report.load);
-  // No request costs more than the settings' maximum: a greater figure counts as unreadable.
+  // No request costs more than the configured maximum, so a greater value is ignored like an unreadable one.
   const bool is_plausible = report.use.units <= settings.max_units;
   if (settings.settles_after_response && is_plausible) event.true_units = report.use.units;
   return event;
--- a/src/planner/event_translation.h
+++ b/src/planner/event_translation.h
@@ -1,4 +1,4 @@
-// Translates the planner's requests and reports into the controller's events. Pure functions.
+// Pure functions that translate the planner's requests and reports into the controller's events.
 #ifndef POSTSPREAD_PLANNER_EVENT_TRANSLATION_H_
 #define POSTSPREAD_PLANNER_EVENT_TRANSLATION_H_
 
@@ -10,13 +10,14 @@
 
 namespace postspread::planner {
 
-// How long a request may take here, so that its response reaches the client within `timeout`; at least 1 ms.
+// Returns how long this gateway may take for a request so that its response reaches the client within
+// `timeout`. The result is at least 1 ms.
 Duration TimeLeft(std::chrono::milliseconds timeout);
 
-// `demand` is left for the caller to fill in.
+// The caller must fill in `demand`.
 RequestEvent ToEvent(const Request& request, RequestId id);
 
-// `final` is left for the caller to fill in.
+// The caller must fill in `final`.
 OutcomeEvent ToEvent(AttemptReport&& report, const Settings& settings);
 
 CounterEvent ToEvent(CounterReport&& report);
--- a/src/planner/idempotency_adapter.cpp
+++ b/src/planner/idempotency_adapter.cpp
@@ -33,7 +33,7 @@
           .incarnation = static_cast<std::uint64_t>(now.count())};
 }
 
-// The index of the entry of this name; nothing: there is none.
+// Returns the index of the entry called `name`, if there is one.
 template <typename Entry>
 std::optional<std::size_t> FindIndex(const std::vector<Entry>& entries, std::string_view name) {
   const auto found = std::find_if(entries.begin(), entries.end(),
@@ -73,10 +73,10 @@
 }
 
 bool IdempotencyAdapter::Begin(const Request& request, RequestId id, TimePoint now) {
-  const std::optional<idempotency::KeyedRequest> ask = ToAsk(request, id, now);
-  if (!ask) return false;
+  const std::optional<idempotency::KeyedRequest> keyed = ToKeyedRequest(request, id, now);
+  if (!keyed) return false;
   RefreshGroups(now);
-  Apply(replica_.Begin(*ask, now), now);
+  Apply(replica_.Begin(*keyed, now), now);
   FinishWork(now);
   return true;
 }
@@ -85,7 +85,7 @@
   Apply(replica_.OnClientDisconnect(request, now), now);
 }
 
-void IdempotencyAdapter::Received(int rank, std::string_view bytes, TimePoint now) {
+void IdempotencyAdapter::HandleDatagram(int rank, std::string_view bytes, TimePoint now) {
   Apply(replica_.Received(rank, bytes, now), now);
 }
 
@@ -106,44 +106,45 @@
   finished_.push_back({request, idempotency::WorkResult::kFailed, {}});
 }
 
-// The end of one piece of work may start another that ends at once in its turn. The loop ends, as each round
-// uses up a request that waited.
+// The result of one request may start the work of a waiting request, which may finish at once. The loop
+// terminates because each round consumes a waiting request.
 void IdempotencyAdapter::FinishWork(TimePoint now) {
   while (!finished_.empty()) {
     std::vector<FinishedWork> round;
     round.swap(finished_);
     for (FinishedWork& work : round) {
-      Apply(replica_.OnWorkFinished(work.request, work.end, std::move(work.value), work.retry_after, now),
+      Apply(replica_.OnWorkFinished(work.request, work.result, std::move(work.value), work.retry_after, now),
             now);
     }
   }
 }
 
-std::optional<idempotency::KeyedRequest> IdempotencyAdapter::ToAsk(const Request& request, RequestId id,
-                                                                   TimePoint now) const {
+std::optional<idempotency::KeyedRequest> IdempotencyAdapter::ToKeyedRequest(const Request& request,
+                                                                            RequestId id,
+                                                                            TimePoint now) const {
   if (request.key.empty()) return std::nullopt;
   const std::optional<std::size_t> class_index = FindIndex(settings_.classes, request.class_name);
   const std::optional<std::size_t> plan_index = FindIndex(settings_.plans, request.plan);
   if (!class_index || !plan_index) return std::nullopt;
   const ClassSettings& class_settings = settings_.classes[*class_index];
-  idempotency::KeyedRequest ask;
-  ask.waiter = id;
-  ask.key = idempotency::DigestKey(request.customer, request.class_name, request.key);
-  ask.fingerprint = idempotency::DigestRequest(request.customer, request.class_name, request.key,
-                                               request.units, request.body);
-  ask.customer = idempotency::DigestCustomer(request.customer);
-  ask.deadline = now + TimeLeft(request.timeout);
-  ask.dedup_window = class_settings.key_ttl;
-  ask.sticky = class_settings.scope != KeyScope::kAll;
-  std::copy_n(request.customer.begin(), std::min(request.customer.size(), ask.work.customer.size()),
-              ask.work.customer.begin());
-  ask.work.class_index = static_cast<std::int16_t>(*class_index);
-  ask.work.plan_index = static_cast<std::int16_t>(*plan_index);
-  ask.work.spread = static_cast<std::int16_t>(request.spread);
-  ask.work.first = static_cast<std::int16_t>(request.first);
-  ask.work.units = static_cast<float>(request.units);
-  ask.work.is_retry = request.is_retry;
-  return ask;
+  idempotency::KeyedRequest keyed;
+  keyed.waiter = id;
+  keyed.key = idempotency::DigestKey(request.customer, request.class_name, request.key);
+  keyed.fingerprint = idempotency::DigestRequest(request.customer, request.class_name, request.key,
+                                                 request.units, request.body);
+  keyed.customer = idempotency::DigestCustomer(request.customer);
+  keyed.deadline = now + TimeLeft(request.timeout);
+  keyed.dedup_window = class_settings.key_ttl;
+  keyed.sticky = class_settings.scope != KeyScope::kAll;
+  std::copy_n(request.customer.begin(), std::min(request.customer.size(), keyed.work.customer.size()),
+              keyed.work.customer.begin());
+  keyed.work.class_index = static_cast<std::int16_t>(*class_index);
+  keyed.work.plan_index = static_cast<std::int16_t>(*plan_index);
+  keyed.work.spread = static_cast<std::int16_t>(request.spread);
+  keyed.work.first = static_cast<std::int16_t>(request.first);
+  keyed.work.units = static_cast<float>(request.units);
+  keyed.work.is_retry = request.is_retry;
+  return keyed;
 }
 
 RequestEvent IdempotencyAdapter::ToEvent(const idempotency::Work& work, RequestId id,
@@ -167,7 +168,7 @@
   out.may_have_run = placement.may_have_run;
   out.age = placement.age;
   if (!placement.group) return out;
-  // Where no upstream belongs to the group any more its number alone says that nothing may go elsewhere.
+  // A group without upstreams has no zone, but its number still prevents other groups from being used.
   out.bound = true;
   out.cell = *placement.group;
   if (const std::string* zone = groups_.FindZone(*placement.group)) out.zone = *zone;
@@ -175,7 +176,8 @@
 }
 
 void IdempotencyAdapter::Apply(idempotency::Actions actions, TimePoint now) {
-  // Work that is started here may end at once, and the replica's next call replaces `actions`.
+  // The loop copies `actions`: work that it starts may finish at once, and the next call of the replica
+  // overwrites them.
   for (idempotency::Action& action : std::vector<idempotency::Action>(actions.begin(), actions.end())) {
     std::visit([this, now](auto& alternative) { Translate(std::move(alternative), now); }, action);
   }
--- a/src/planner/idempotency_adapter.h
+++ b/src/planner/idempotency_adapter.h
@@ -1,5 +1,5 @@
-// Joins the idempotency replica to the controller: a request with a key goes to the replica first, work that
-// the replica starts goes to the controller, and how that work ended goes back to the replica.
+// Connects the idempotency replica to the controller. The replica checks each request with an idempotency key
+// first. The controller runs the work that the replica starts, and the replica gets the result of that work.
 #ifndef POSTSPREAD_PLANNER_IDEMPOTENCY_ADAPTER_H_
 #define POSTSPREAD_PLANNER_IDEMPOTENCY_ADAPTER_H_
 
@@ -21,7 +21,8 @@
 
 class IdempotencyAdapter {
  public:
-  // `actions`: the list that the planner is filling. The references outlive this.
+  // The adapter appends to `actions`, the result of the planner's current call. All references must outlive
+  // the adapter.
   IdempotencyAdapter(const PlannerOptions& options, const Settings& settings, TimePoint now,
                      const UpstreamSet& upstreams, ControllerAdapter& controller,
                      std::vector<Action>& actions);
@@ -30,18 +31,19 @@
   void OnMembershipView(const membership::View& view);
   void OnUpstreamsChanged(TimePoint now);
 
-  // A request has arrived. False: it has no key of a known class, and is left alone.
+  // Handles a new request. Returns false, and does nothing, if the request has no idempotency key or its
+  // class or plan is unknown.
   bool Begin(const Request& request, RequestId id, TimePoint now);
   void OnClientDisconnect(RequestId request, TimePoint now);
-  void Received(int rank, std::string_view bytes, TimePoint now);
+  void HandleDatagram(int rank, std::string_view bytes, TimePoint now);
 
-  // Whether work under a key runs as this request, so that its end is wanted here.
+  // Returns whether this request runs the work for its key, so that the replica needs the result.
   [[nodiscard]] bool IsRunning(RequestId request) { return replica_.Runs(request); }
-  // Whether the request runs or waits here, so that it outlives its client.
+  // Returns whether the request runs or waits for such work, so that it outlives its client.
   [[nodiscard]] bool IsTracking(RequestId request) { return replica_.IsTracking(request); }
 
-  // The work of a request that IsRunning has ended. Takes effect with the next FinishWork, since the replica
-  // must not be called while the controller's decisions are translated.
+  // Record the result of a request for which IsRunning returns true. FinishWork passes it to the replica,
+  // which must not be called while the controller's decisions are being translated.
   void OnSucceeded(RequestId request, std::string value);
   void OnRejected(RequestId request, Duration retry_after);
   void OnFailed(RequestId request);
@@ -55,13 +57,13 @@
  private:
   struct FinishedWork {
     RequestId request = 0;
-    idempotency::WorkResult end = idempotency::WorkResult::kFailed;
+    idempotency::WorkResult result = idempotency::WorkResult::kFailed;
     std::string value;
     Duration retry_after{0};
   };
 
-  [[nodiscard]] std::optional<idempotency::KeyedRequest> ToAsk(const Request& request, RequestId id,
-                                                               TimePoint now) const;
+  [[nodiscard]] std::optional<idempotency::KeyedRequest> ToKeyedRequest(const Request& request, RequestId id,
+                                                                        TimePoint now) const;
   [[nodiscard]] RequestEvent ToEvent(const idempotency::Work& work, RequestId id, Duration time_left) const;
   [[nodiscard]] KeyPin ToKeyPin(const idempotency::StickyPlacement& placement) const;
   void RefreshGroups(TimePoint now);
--- a/src/planner/membership_adapter.cpp
+++ b/src/planner/membership_adapter.cpp
@@ -20,20 +20,20 @@
       actions_(actions),
       on_view_changed_(std::move(on_view_changed)) {}
 
-bool MembershipAdapter::Received(membership::PeerId from, std::string_view bytes, TimePoint now) {
+bool MembershipAdapter::HandleDatagram(membership::PeerId from, std::string_view bytes, TimePoint now) {
   if (!membership_.Received(from, bytes, now)) return false;
-  Publish();
+  EmitActions();
   return true;
 }
 
 void MembershipAdapter::Leave(TimePoint now) {
   membership_.Leave(now);
-  Publish();
+  EmitActions();
 }
 
 void MembershipAdapter::Tick(TimePoint now) {
   membership_.Tick(now);
-  Publish();
+  EmitActions();
 }
 
 subsetting::RingPosition MembershipAdapter::RingPosition() const {
@@ -44,7 +44,7 @@
   return subsetting::RingPositionOf(membership_.name(), live);
 }
 
-void MembershipAdapter::Publish() {
+void MembershipAdapter::EmitActions() {
   for (membership::Membership::Datagram& datagram : membership_.TakeDatagrams()) {
     actions_.emplace_back(SendMembershipDatagram{datagram.to, std::move(datagram.bytes)});
   }
--- a/src/planner/membership_adapter.h
+++ b/src/planner/membership_adapter.h
@@ -1,5 +1,5 @@
-// Joins membership to the planner: its datagrams and log lines become actions, and a change of the view is
-// passed on.
+// Connects membership to the planner: turns its datagrams and log lines into actions, and reports changes of
+// the membership view.
 #ifndef POSTSPREAD_PLANNER_MEMBERSHIP_ADAPTER_H_
 #define POSTSPREAD_PLANNER_MEMBERSHIP_ADAPTER_H_
 
@@ -18,30 +18,31 @@
 
 class MembershipAdapter {
  public:
-  // Called when members came, went or changed their state, before the log lines about it.
+  // This callback runs after members were added, removed or changed their state, before the log lines about
+  // it.
   using ViewCallback = std::function<void()>;
 
-  // `actions`: the list that the planner is filling; outlives this.
+  // The adapter appends to `actions`, the result of the planner's current call, which must outlive it.
   MembershipAdapter(const PlannerOptions& options, std::uint64_t seed, TimePoint now,
                     std::vector<Action>& actions, ViewCallback on_view_changed);
 
   void SetLimits(const membership::Limits& limits) { membership_.SetLimits(limits); }
 
-  // See membership::Membership for these.
-  bool Received(membership::PeerId from, std::string_view bytes, TimePoint now);
+  // membership::Membership documents these functions.
+  bool HandleDatagram(membership::PeerId from, std::string_view bytes, TimePoint now);
   void Leave(TimePoint now);
   void Tick(TimePoint now);
   [[nodiscard]] TimePoint NextTick() const { return membership_.NextTick(); }
 
-  // This gateway's position among those that live.
+  // Returns this gateway's position among the live gateways.
   [[nodiscard]] subsetting::RingPosition RingPosition() const;
-  // How many gateways live, this one included.
+  // Returns the number of live gateways, including this one.
   [[nodiscard]] int LiveCount() { return static_cast<int>(membership_.living()); }
 
   [[nodiscard]] const membership::Membership& membership() const { return membership_; }
 
  private:
-  void Publish();
+  void EmitActions();
   void LogChange(const membership::Change& change);
 
   membership::Membership membership_;
--- a/src/planner/options.h
+++ b/src/planner/options.h
@@ -1,4 +1,4 @@
-// What an installation enables beside the controller.
+// Settings of the planner's subsystems: idempotency, usage broadcast, membership and subsetting.
 #ifndef POSTSPREAD_PLANNER_OPTIONS_H_
 #define POSTSPREAD_PLANNER_OPTIONS_H_
 
@@ -15,14 +15,15 @@
 struct PlannerOptions {
   idempotency::Limits idempotency;
   usage::Limits usage;
-  bool has_peers = false;  // datagrams can be sent to the other gateways
+  bool has_peers = false;  // This gateway can send datagrams to the other gateways.
   membership::Limits membership{};
   subsetting::Limits subsetting{};
-  std::string name{};           // this gateway's, in membership
-  membership::PeerId peer = 0;  // this gateway's, of the same kind as `seeds`
+  std::string name{};           // This gateway's name in membership.
+  membership::PeerId peer = 0;  // This gateway's own id, of the same kind as `seeds`.
   std::vector<membership::PeerId> seeds{};
-  bool may_be_succeeded = false;  // another process may take over from this one
-  membership::DisabledDefense disabled = membership::DisabledDefense::kNothing;  // tests only
+  bool may_be_succeeded = false;  // A successor process may take over from this one.
+  // Only tests disable a defense of membership.
+  membership::DisabledDefense disabled = membership::DisabledDefense::kNothing;
 };
 
 }  // namespace postspread::planner
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -12,9 +12,9 @@
                  const PlannerOptions& options)
     : wall_start_(wall),
       steady_start_(now),
-      latest_(wall),
+      latest_time_(wall),
       settings_(std::move(settings)),
-      usage_(MakeUsage(options, seed)),
+      usage_(MakeUsageAdapter(options, seed)),
       controller_(settings_, seed, wall, usage_ ? &*usage_ : nullptr, *this, actions_) {
   if (options.subsetting.subsets) subsetting_.emplace(options.subsetting, settings_, upstreams_);
   if (options.membership.enabled) {
@@ -25,7 +25,7 @@
   }
 }
 
-std::optional<UsageAdapter> Planner::MakeUsage(const PlannerOptions& options, std::uint64_t seed) {
+std::optional<UsageAdapter> Planner::MakeUsageAdapter(const PlannerOptions& options, std::uint64_t seed) {
   if (!options.usage.broadcast || !options.has_peers || !settings_.can_message_peers) return std::nullopt;
   const usage::UsageOptions usage{settings_.group_size, settings_.peer_messages_per_second, seed};
   return UsageAdapter(usage, wall_start_, actions_);
@@ -47,38 +47,38 @@
   if (membership_) membership_->SetLimits(membership);
 }
 
-TimePoint Planner::At(Clock::time_point now) {
+TimePoint Planner::ToPlannerTime(Clock::time_point now) {
   const auto elapsed = std::chrono::duration_cast<std::chrono::microseconds>(now - steady_start_);
-  latest_ = std::max(latest_, wall_start_ + elapsed);
-  return latest_;
+  latest_time_ = std::max(latest_time_, wall_start_ + elapsed);
+  return latest_time_;
 }
 
 Planner::PickResult Planner::Pick(const Request& request, Clock::time_point now) {
   actions_.clear();
-  const TimePoint at = At(now);
-  const RequestId number = next_request_++;
-  if (!idempotency_ || !idempotency_->Begin(request, number, at)) {
-    controller_.Begin(ToEvent(request, number), at);
+  const TimePoint at = ToPlannerTime(now);
+  const RequestId id = next_request_++;
+  if (!idempotency_ || !idempotency_->Begin(request, id, at)) {
+    controller_.Begin(ToEvent(request, id), at);
   }
-  return {number, actions_};
+  return {id, actions_};
 }
 
 Actions Planner::Leave(Clock::time_point now) {
   actions_.clear();
-  if (membership_) membership_->Leave(At(now));
+  if (membership_) membership_->Leave(ToPlannerTime(now));
   return actions_;
 }
 
 Actions Planner::Report(ReportValue report, Clock::time_point now) {
   actions_.clear();
-  const TimePoint at = At(now);
+  const TimePoint at = ToPlannerTime(now);
   std::visit([this, at](auto& alternative) { On(std::move(alternative), at); }, report);
   return actions_;
 }
 
 Actions Planner::Tick(Clock::time_point now) {
   actions_.clear();
-  const TimePoint at = At(now);
+  const TimePoint at = ToPlannerTime(now);
   controller_.RunTimers(at);
   FinishWork(at);
   if (usage_) usage_->Tick(at);
@@ -135,17 +135,17 @@
   FinishWork(now);
 }
 
-// Each subsystem recognises its own datagrams.
+// Each subsystem recognizes its own datagrams.
 void Planner::On(PeerReport&& report, TimePoint now) {
-  if (usage_ && usage_->Received(report.bytes, now)) return;
+  if (usage_ && usage_->HandleDatagram(report.bytes, now)) return;
   const auto peer = static_cast<membership::PeerId>(report.rank);
-  if (membership_ && membership_->Received(peer, report.bytes, now)) return;
-  if (idempotency_) idempotency_->Received(report.rank, report.bytes, now);
+  if (membership_ && membership_->HandleDatagram(peer, report.bytes, now)) return;
+  if (idempotency_) idempotency_->HandleDatagram(report.rank, report.bytes, now);
   FinishWork(now);
 }
 
 void Planner::On(MembershipReport&& report, TimePoint now) {
-  if (membership_) membership_->Received(report.peer, report.bytes, now);
+  if (membership_) membership_->HandleDatagram(report.peer, report.bytes, now);
 }
 
 void Planner::FinishWork(TimePoint now) {
@@ -164,7 +164,7 @@
   return true;
 }
 
-// By membership, or else among all gateways of the settings' group.
+// Uses membership if it is enabled, and otherwise the rank and the group size of the settings.
 subsetting::RingPosition Planner::RingPosition() const {
   if (membership_) return membership_->RingPosition();
   return {static_cast<std::size_t>(settings_.rank), static_cast<std::size_t>(settings_.group_size)};
@@ -173,9 +173,9 @@
 void Planner::OnViewChanged() {
   if (subsetting_) {
     EndpointListReport changes = subsetting_->Reselect(RingPosition());
-    if (!changes.upstreams.empty()) controller_.On(std::move(changes), latest_);
+    if (!changes.upstreams.empty()) controller_.On(std::move(changes), latest_time_);
   }
-  // Where members are known by their addresses, their ranks in the group are not known.
+  // The ranks of members are unknown if membership identifies them by address.
   if (membership_->membership().by_address()) return;
   if (usage_) usage_->SetGroup(membership_->LiveCount());
   if (idempotency_) idempotency_->OnMembershipView(membership_->membership().view());
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -1,6 +1,7 @@
-// The decision module behind three calls: Pick, Report and Tick. Each returns at once with the actions to be
-// executed at that moment, in order. There are no callbacks and there is no I/O: the caller owns the clock
-// and the sockets, the planner owns the controller, the subsystems beside it and the numbers of requests.
+// The interface between the network code and the decisions of a gateway. Each of Pick, Report and Tick
+// returns at once with the actions that the caller must execute now, in order. The planner uses no callbacks
+// and does no I/O: the caller owns the clock and the sockets. The planner owns the controller and the other
+// subsystems, and assigns the request ids.
 #ifndef POSTSPREAD_PLANNER_PLANNER_H_
 #define POSTSPREAD_PLANNER_PLANNER_H_
 
@@ -28,13 +29,14 @@
 
 namespace postspread::planner {
 
-// Valid until the next call of the planner.
+// The actions are valid until the next call of the planner.
 using Actions = std::span<Action>;
 
 class Planner final : private FinalResponseInterceptor {
  public:
-  // `wall` is the wall clock at `now`. Gateways number a customer's periods by it, so it must agree
-  // between them; from then on only the steady clock counts, so that time never goes back.
+  // `wall` is the wall clock at `now`. Gateways number a customer's periods by wall time, so their wall
+  // clocks must agree. After construction the planner uses only the steady clock, so that time never goes
+  // back.
   Planner(Settings settings, std::uint64_t seed, std::chrono::microseconds wall, Clock::time_point now,
           const PlannerOptions& options);
   Planner(Settings settings, std::uint64_t seed, std::chrono::microseconds wall, Clock::time_point now)
@@ -42,45 +44,46 @@
   Planner(const Planner&) = delete;
   Planner& operator=(const Planner&) = delete;
 
-  // Adopts other settings for what comes from now on; requests in flight keep their rules, and what was
-  // learnt stays. Returns whether the plans were left as they were, since theirs are not the same names in
-  // the same order.
+  // Applies new settings to future requests. Requests in flight keep their settings, and learned state stays.
+  // Returns true if the new plans were ignored because their names or their order differ.
   bool Reconfigure(Settings settings);
-  // Slots of classes, the unused ones too: no more than were configured at once.
+  // Returns the number of class slots including unused ones, which is at most the maximum number of classes
+  // that were configured at the same time.
   [[nodiscard]] std::size_t class_slots() const { return settings_.classes.size(); }
-  // Adopts what may change while the process runs.
+  // Applies the limits that may change while the process runs.
   void SetLimits(const idempotency::Limits& idempotency, const membership::Limits& membership);
 
   struct PickResult {
     RequestId number = 0;
     Actions actions;
   };
-  // A request has arrived; it gets exactly one final response: a value, a rejection or a failure.
+  // Handles a new request, which gets exactly one final response: a value, a rejection or a failure.
   PickResult Pick(const Request& request, Clock::time_point now);
 
-  // The process shuts down: membership announces it.
+  // Announces the shutdown of this process to the other members.
   Actions Leave(Clock::time_point now);
 
-  // The result of an action, or an event. An attempt that succeeded ends its request: its value is the final
-  // response.
+  // Handles the result of an action, or an event. A successful attempt completes its request; its value is
+  // the final response.
   Actions Report(ReportValue report, Clock::time_point now);
 
   // Runs the timers that are due.
   Actions Tick(Clock::time_point now);
-  // When Tick is due next; nothing: not at all. May have changed after each call.
+  // Returns when the next Tick is due, or nothing if none is. Any call of the planner may change this time.
   std::optional<Clock::time_point> NextTick();
 
-  // Upstreams in the list, and how many of them the decisions avoid now.
-  Controller::UpstreamCounts Count(Clock::time_point now) { return controller_.Count(At(now)); }
+  // Returns how many upstreams are listed, and how many of these the controller avoids at present.
+  Controller::UpstreamCounts Count(Clock::time_point now) { return controller_.Count(ToPlannerTime(now)); }
 
-  // Whether the value is wanted in the report of the request's attempt: an action sends the response then.
-  bool NeedsAnswer(RequestId number) { return idempotency_ && idempotency_->IsRunning(number); }
-  // Whether the request is needed after its client has disconnected, until its ReleaseRequest.
-  bool OutlivesClient(RequestId number) { return idempotency_ && idempotency_->IsTracking(number); }
+  // Returns whether the report of the request's attempt must contain the response value. An action then sends
+  // the response.
+  bool NeedsAnswer(RequestId request) { return idempotency_ && idempotency_->IsRunning(request); }
+  // Returns whether the caller must keep the request after its client has disconnected, until ReleaseRequest.
+  bool OutlivesClient(RequestId request) { return idempotency_ && idempotency_->IsTracking(request); }
 
-  // Null where idempotency is disabled.
+  // Returns null if idempotency is disabled.
   idempotency::IdempotencyReplica* replica() { return idempotency_ ? &idempotency_->replica() : nullptr; }
-  // Null where membership is disabled.
+  // Returns null if membership is disabled.
   [[nodiscard]] const membership::Membership* membership() const {
     return membership_ ? &membership_->membership() : nullptr;
   }
@@ -90,11 +93,12 @@
   bool InterceptRejection(RequestId request, Duration retry_after) override;
   bool InterceptFailure(RequestId request) override;
 
-  TimePoint At(Clock::time_point now);
-  std::optional<UsageAdapter> MakeUsage(const PlannerOptions& options, std::uint64_t seed);
+  // Converts `now` to the wall clock at construction plus the steady time since. The result never decreases.
+  TimePoint ToPlannerTime(Clock::time_point now);
+  std::optional<UsageAdapter> MakeUsageAdapter(const PlannerOptions& options, std::uint64_t seed);
   [[nodiscard]] subsetting::RingPosition RingPosition() const;
   void OnViewChanged();
-  // One for each alternative of ReportValue.
+  // Each overload handles one alternative of ReportValue.
   void On(AttemptReport&& report, TimePoint now);
   void On(CounterReport&& report, TimePoint now);
   void On(EndpointListReport&& report, TimePoint now);
@@ -106,12 +110,12 @@
 
   const TimePoint wall_start_;
   const Clock::time_point steady_start_;
-  TimePoint latest_;  // of the times handed in
+  TimePoint latest_time_;  // The latest result of ToPlannerTime.
   Settings settings_;
   RequestId next_request_ = 1;
-  std::vector<Action> actions_;  // of the current call
+  std::vector<Action> actions_;  // The actions of the current call.
   StartTimes start_times_;
-  UpstreamSet upstreams_;  // maintained where idempotency or subsetting is enabled
+  UpstreamSet upstreams_;  // This set is maintained only if idempotency or subsetting is enabled.
   std::optional<UsageAdapter> usage_;
   ControllerAdapter controller_;
   std::optional<SubsettingAdapter> subsetting_;
--- a/src/planner/start_times.cpp
+++ b/src/planner/start_times.cpp
@@ -5,8 +5,8 @@
 namespace postspread::planner {
 namespace {
 
-// How late a list may arrive. A start that seems to be older than this before the last list was reported by a
-// clock that differs from ours.
+// The maximum delay of a list. A start that is reported as more than this before the last list comes from a
+// clock that differs from the one of this process.
 constexpr std::chrono::seconds kMaxListDelay{10};
 
 }  // namespace
@@ -17,7 +17,7 @@
   }
   for (Upstream& upstream : report.upstreams) {
     const auto [found, is_new] = starts_.try_emplace(upstream.name);
-    Start& start = found->second;
+    StartRecord& start = found->second;
     if (is_new || start.reported != upstream.started) {
       start.reported = upstream.started;
       start.estimate = Estimate(upstream.started, now);
@@ -25,19 +25,20 @@
     start.is_in_list = upstream.state != UpstreamState::kRemoved;
     upstream.started = std::chrono::floor<std::chrono::milliseconds>(start.estimate);
   }
-  // A persisted list does not say when it was in force.
+  // A persisted list does not state when it was valid.
   if (report.kind != EndpointUpdateKind::kPersisted) last_list_at_ = now;
   EvictUnlisted();
 }
 
 StartTimes::Time StartTimes::Estimate(std::chrono::milliseconds reported, Time now) const {
-  if (reported.count() == 0) return Time(0);  // long ago
+  if (reported.count() == 0) return Time(0);  // The upstream started long ago.
   if (!last_list_at_ || Time(reported) >= *last_list_at_) return std::min(Time(reported), now);
   const bool is_late_list = *last_list_at_ - Time(reported) <= kMaxListDelay;
   return is_late_list ? *last_list_at_ : now;
 }
 
-// Seldom, so that the cost of a list of changes depends on its own size and not on that of the whole list.
+// Evicts only when the threshold is reached, so that the average cost of a list of changes depends on its own
+// size and not on that of the complete list.
 void StartTimes::EvictUnlisted() {
   if (starts_.size() < eviction_threshold_) return;
   std::erase_if(starts_, [](const auto& entry) { return !entry.second.is_in_list; });
--- a/src/planner/start_times.h
+++ b/src/planner/start_times.h
@@ -1,7 +1,7 @@
-// When each upstream last started, on this process's own clock. Discovery reports a start as wall time, and
-// the wall clock here or there may have been stepped, so that time is trusted only within what the lists
-// themselves prove: a start is no younger than the list that first reports it, and no older than the last
-// list that did not. No I/O, no clock of its own.
+// Estimates when each upstream last started, on this process's own clock. Discovery reports start times as
+// wall time, and either wall clock may have been stepped. An estimate therefore stays within the bounds that
+// the lists give: a start is no later than the list that first reports it, and no earlier than the last list
+// that did not. This class does no I/O and reads no clock.
 #ifndef POSTSPREAD_PLANNER_START_TIMES_H_
 #define POSTSPREAD_PLANNER_START_TIMES_H_
 
@@ -17,28 +17,29 @@
 
 class StartTimes {
  public:
-  using Time = std::chrono::microseconds;  // since the Unix epoch, as the wall clock stood at our own start
+  // The time since the Unix epoch: the wall clock at the start of this process plus the steady time since.
+  using Time = std::chrono::microseconds;
 
-  // A list has arrived at `now`: replaces the start of each upstream in it by its estimate. A start that is
-  // reported again keeps its estimate.
+  // Replaces the start of each upstream in `report`, a list received at `now`, by its estimate. A start that
+  // was reported before keeps its estimate.
   void Apply(EndpointListReport& report, Time now);
 
  private:
-  struct Start {
+  struct StartRecord {
     std::chrono::milliseconds reported{0};
     Time estimate{0};
     bool is_in_list = false;
   };
 
-  // Upstreams that are remembered although they are not listed any more, as they may be listed again.
+  // The number of upstreams that are remembered after their removal, because they may be listed again.
   static constexpr std::size_t kMaxUnlisted = 1'000;
 
   [[nodiscard]] Time Estimate(std::chrono::milliseconds reported, Time now) const;
   void EvictUnlisted();
 
-  std::unordered_map<std::string, Start> starts_;  // by name
-  std::size_t eviction_threshold_ = kMaxUnlisted;  // entries
-  std::optional<Time> last_list_at_;               // when discovery's last list arrived, of any kind
+  std::unordered_map<std::string, StartRecord> starts_;  // By the name of the upstream.
+  std::size_t eviction_threshold_ = kMaxUnlisted;  // Eviction runs when `starts_` has this many entries.
+  std::optional<Time> last_list_at_;               // When the last snapshot or list of changes arrived.
 };
 
 }  // namespace postspread::planner
--- a/src/planner/subsetting_adapter.cpp
+++ b/src/planner/subsetting_adapter.cpp
@@ -7,7 +7,8 @@
 namespace postspread::planner {
 namespace {
 
-// Whether a class binds its idempotency keys to a group of upstreams: groups are selected whole then.
+// Returns whether any class binds its idempotency keys to a group of upstreams. A subset then consists of
+// complete groups.
 bool BindsKeysToGroups(const Settings& settings) {
   return std::any_of(settings.classes.begin(), settings.classes.end(), [](const ClassSettings& candidate) {
     return candidate.retry_safety == RetrySafety::kIdempotencyKey && candidate.scope != KeyScope::kAll;
@@ -21,17 +22,17 @@
     : limits_(limits), settings_(settings), upstreams_(upstreams) {}
 
 std::unordered_set<std::string> SubsettingAdapter::Select(const subsetting::RingPosition& position) const {
-  std::vector<subsetting::Upstream> nodes;
+  std::vector<subsetting::Upstream> candidates;
   for (const auto& [name, upstream] : upstreams_.by_name()) {
-    nodes.push_back(
+    candidates.push_back(
         {name, upstream.zone, upstream.cell, upstream.weight, upstream.state == UpstreamState::kReady});
   }
   std::unordered_set<std::string> selected;
   for (const subsetting::Assignment& assignment : subsetting::Subset(
            limits_, position, settings_.zone,
            BindsKeysToGroups(settings_) ? subsetting::Grouping::kByCell : subsetting::Grouping::kSingle,
-           nodes)) {
-    selected.insert(nodes[assignment.upstream].name);
+           candidates)) {
+    selected.insert(candidates[assignment.upstream].name);
   }
   return selected;
 }
--- a/src/planner/subsetting_adapter.h
+++ b/src/planner/subsetting_adapter.h
@@ -1,5 +1,5 @@
-// Restricts this gateway to its subset of the upstreams: to the controller all others are draining, so that
-// what is in flight there ends and nothing new starts.
+// Restricts this gateway to its subset of the upstreams. The controller sees all other upstreams as draining:
+// requests in flight there finish, and no new ones start.
 #ifndef POSTSPREAD_PLANNER_SUBSETTING_ADAPTER_H_
 #define POSTSPREAD_PLANNER_SUBSETTING_ADAPTER_H_
 
@@ -15,14 +15,15 @@
 
 class SubsettingAdapter {
  public:
-  // The references outlive this.
+  // The references must outlive the adapter.
   SubsettingAdapter(const subsetting::Limits& limits, const Settings& settings, const UpstreamSet& upstreams);
 
-  // `report` has been applied to the upstreams. Selects the subset anew, and makes `report` name every
-  // upstream whose state changes by it.
+  // Selects the subset again after `report` was applied to the upstreams, and adds to `report` each upstream
+  // whose state changes as a result.
   void Apply(const subsetting::RingPosition& position, EndpointListReport& report);
 
-  // The gateways that live have changed: the upstreams whose state changes by it, perhaps none.
+  // Selects the subset again after the set of live gateways has changed. Returns the upstreams whose state
+  // changes as a result; the list may be empty.
   EndpointListReport Reselect(const subsetting::RingPosition& position);
 
  private:
--- a/src/planner/timer_queue.h
+++ b/src/planner/timer_queue.h
@@ -1,4 +1,5 @@
-// The controller's one-shot timers, by due time; timers of one due time fire in the order of their setting.
+// The controller's one-shot timers, ordered by due time. Timers with the same due time fire in the order in
+// which they were set.
 #ifndef POSTSPREAD_PLANNER_TIMER_QUEUE_H_
 #define POSTSPREAD_PLANNER_TIMER_QUEUE_H_
 
@@ -14,18 +15,19 @@
 
 class TimerQueue {
  public:
-  // A position in the order of setting.
+  // A timer's position in the order in which timers are set.
   using Sequence = std::uint64_t;
 
   void Set(TimePoint due, std::uint64_t token);
 
-  // The position of the next timer to be set: PopDue can leave those out that are set from here on.
+  // Returns the position of the next timer to be set. Passed to PopDue, it excludes timers that are
+  // set later.
   [[nodiscard]] Sequence next_sequence() const { return next_sequence_; }
 
   // Removes the first timer if it is due and was set before position `before`, and returns its token.
   std::optional<std::uint64_t> PopDue(TimePoint now, Sequence before);
 
-  // When the first timer is due; nothing: none is set.
+  // Returns when the first timer is due, or nothing if no timer is set.
   [[nodiscard]] std::optional<TimePoint> NextDue() const;
 
  private:
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -1,4 +1,5 @@
-// The planner's input and output: plain values that name no type of the controller.
+// Input (reports) and output (actions) of the planner. These plain values are independent of the controller's
+// types.
 #ifndef POSTSPREAD_PLANNER_TYPES_H_
 #define POSTSPREAD_PLANNER_TYPES_H_
 
@@ -18,28 +19,28 @@
 
 using Clock = std::chrono::steady_clock;
 
-// ---- Actions: to be executed at once, in order.
+// ---- Actions: the caller executes them at once and in order.
 
-// Starts an attempt.
 struct StartAttempt {
   RequestId request = 0;
   AttemptNumber attempt = 0;
   std::string upstream;
   std::chrono::microseconds timeout{0};
-  std::chrono::microseconds begin_within{0};  // its first byte may not arrive later
+  // The first byte of the request must reach the upstream within this time.
+  std::chrono::microseconds begin_within{0};
 };
 
-// Final response: the request was not executed, and a retry is harmless.
+// Final response: the request was not executed, so the client may retry it safely.
 struct RejectWithRetryAfter {
   RequestId request = 0;
-  std::chrono::microseconds retry_after{0};  // 0: no advice
+  std::chrono::microseconds retry_after{0};  // 0: the client gets no retry-after.
 };
 
 enum class FailureReason {
   kFailed,
-  kUnknown,        // an earlier request with the same key may have been executed
-  kOtherKey,       // the key belongs to another request
-  kAnswerDropped,  // an earlier request with the same key was executed; its response is no longer cached
+  kUnknown,        // An earlier request with the same key may have been executed.
+  kOtherKey,       // The key was used for a different request.
+  kAnswerDropped,  // An earlier request with the same key was executed; its response is no longer cached.
 };
 
 // Final response: the request may have been executed.
@@ -54,19 +55,19 @@
   std::shared_ptr<const std::string> value;
 };
 
-// The client has disconnected, and nothing needs the request any more.
+// The client has disconnected, and the planner no longer needs the request.
 struct ReleaseRequest {
   RequestId request = 0;
 };
 
-// A datagram to the gateway of this rank, or to all others.
+// Sends a datagram to the gateway of rank `rank`, or with kAll to all other gateways.
 struct SendDatagram {
   static constexpr int kAll = -1;
   int rank = 0;
   std::string bytes;
 };
 
-// A membership datagram; `peer` is a membership::PeerId.
+// Sends a membership datagram; `peer` is a membership::PeerId.
 struct SendMembershipDatagram {
   std::uint64_t peer = 0;
   std::string bytes;
@@ -77,11 +78,11 @@
   AttemptNumber attempt = 0;
 };
 
-// Adds `amount` to a shared counter.
+// Adds `amount` to a counter that all gateways share.
 struct CallCounter {
   std::string name;
   double amount = 0.0;
-  std::chrono::microseconds ttl{0};  // of the counter, where this call creates it
+  std::chrono::microseconds ttl{0};  // The counter's time to live, if this call creates it.
 };
 
 struct StartHealthCheck {
@@ -96,11 +97,11 @@
                             CancelAttempt, CallCounter, StartHealthCheck, SendDatagram,
                             SendMembershipDatagram, LogEvent>;
 
-// ---- Reports: results of actions, and what happened besides.
+// ---- Reports: results of actions, and external events.
 
 enum class AttemptResult { kSucceeded, kError, kRejected, kTimedOut, kConnectFailed, kReset, kCancelled };
 
-// The metric label values, which are fixed.
+// Returns the metric label of `result`. These labels are a fixed part of the metrics.
 constexpr std::string_view Name(AttemptResult result) {
   switch (result) {
     case AttemptResult::kSucceeded:
@@ -121,7 +122,7 @@
   return "";
 }
 
-// An attempt has ended; reported exactly once for each StartAttempt.
+// The result of an attempt. The caller reports exactly one for each StartAttempt.
 struct AttemptReport {
   RequestId request = 0;
   AttemptNumber attempt = 0;
@@ -130,17 +131,18 @@
   std::chrono::microseconds elapsed{0};
   UpstreamLoad load{};
   ReportedUsage use{};
-  std::string value{};  // with kSucceeded, where Planner::NeedsAnswer
+  std::string value{};  // The response value, with kSucceeded if Planner::NeedsAnswer returns true.
 };
 
 enum class CounterResult {
   kAdded,
   kRejected,
   kUnreachable,
-  kTimedOut,  // the amount may have been added
+  kTimedOut,  // The counter may have added the amount.
 };
 
-// Reported exactly once for each CallCounter; for one name in the order of its calls.
+// The result of a counter call. The caller reports exactly one for each CallCounter, and those of one counter
+// in the order of its calls.
 struct CounterReport {
   std::string name;
   CounterResult result = CounterResult::kAdded;
@@ -151,11 +153,11 @@
 // An update of discovery's endpoint list.
 struct EndpointListReport {
   EndpointUpdateKind kind = EndpointUpdateKind::kSnapshot;
-  std::uint64_t index = 0;  // version of the list
+  std::uint64_t index = 0;  // The version of the list.
   std::vector<Upstream> upstreams;
 };
 
-// A health check has ended; reported exactly once for each StartHealthCheck.
+// The result of a health check. The caller reports exactly one for each StartHealthCheck.
 struct HealthCheckReport {
   std::string upstream;
   AttemptResult result = AttemptResult::kSucceeded;
@@ -167,13 +169,13 @@
   RequestId request = 0;
 };
 
-// A datagram from the gateway of this rank.
+// A datagram was received from the gateway of rank `rank`.
 struct PeerReport {
   int rank = 0;
   std::string bytes;
 };
 
-// A membership datagram, where membership has a socket of its own; `peer` is a membership::PeerId.
+// A membership datagram was received on membership's own socket; `peer` is a membership::PeerId.
 struct MembershipReport {
   std::uint64_t peer = 0;
   std::string bytes;
--- a/src/planner/upstream_groups.cpp
+++ b/src/planner/upstream_groups.cpp
@@ -9,7 +9,7 @@
     : settings_(settings), upstreams_(upstreams) {}
 
 std::optional<std::vector<idempotency::UpstreamGroup>> UpstreamGroups::Refresh(TimePoint now) {
-  if (counted_at_ && now - *counted_at_ < kMaxAge) return std::nullopt;
+  if (counted_at_ && now - *counted_at_ < kMaxCountAge) return std::nullopt;
   counted_at_ = now;
   zones_.clear();
   std::map<std::int64_t, std::size_t> ready;
@@ -21,7 +21,8 @@
     ++ready[upstream.cell];
     if (now - upstream.started >= settings_.slow_start_duration) ++warmed_up[upstream.cell];
   }
-  // Keys are bound to warmed-up groups: one in slow start would have to reject most of their requests.
+  // Keys are bound to groups that have upstreams past slow start, because a group in slow start would reject
+  // most requests.
   std::vector<idempotency::UpstreamGroup> groups;
   for (const auto& [group, count] : warmed_up.empty() ? ready : warmed_up) groups.push_back({group, count});
   return groups;
--- a/src/planner/upstream_groups.h
+++ b/src/planner/upstream_groups.h
@@ -1,5 +1,5 @@
-// The groups of upstreams that share idempotency keys, one a cell, with the number of members that take new
-// requests.
+// The groups of upstreams that share idempotency keys, and the number of upstreams in each that accept new
+// requests. Each cell is one group.
 #ifndef POSTSPREAD_PLANNER_UPSTREAM_GROUPS_H_
 #define POSTSPREAD_PLANNER_UPSTREAM_GROUPS_H_
 
@@ -18,25 +18,26 @@
 
 class UpstreamGroups {
  public:
-  // The references outlive this.
+  // The references must outlive this object.
   UpstreamGroups(const Settings& settings, const UpstreamSet& upstreams);
 
-  // The upstreams have changed: the counts are out of date.
+  // Marks the counts as out of date after the upstreams have changed.
   void Invalidate() { counted_at_.reset(); }
 
-  // Counts again where the counts are out of date, and returns the groups that keys may be bound to.
+  // Counts again if the counts are out of date, and then returns the groups that keys may be bound to.
+  // Returns nothing if the counts are still valid.
   std::optional<std::vector<idempotency::UpstreamGroup>> Refresh(TimePoint now);
 
-  // The zone of a group as last counted; null: no upstream belongs to it.
+  // Returns the zone of a group at the last count, or null if no upstream belongs to the group.
   [[nodiscard]] const std::string* FindZone(std::int64_t group) const;
 
  private:
-  // Upstreams warm up with time, so the counts expire.
-  static constexpr std::chrono::seconds kMaxAge{1};
+  // Counts expire because upstreams leave slow start without an update of the list.
+  static constexpr std::chrono::seconds kMaxCountAge{1};
 
   const Settings& settings_;
   const UpstreamSet& upstreams_;
-  std::unordered_map<std::int64_t, std::string> zones_;  // by group
+  std::unordered_map<std::int64_t, std::string> zones_;  // By group.
   std::optional<TimePoint> counted_at_;
 };
 
--- a/src/planner/upstream_set.h
+++ b/src/planner/upstream_set.h
@@ -1,4 +1,4 @@
-// The upstreams that discovery lists now, by name; those that were removed are not in it.
+// The upstreams that discovery lists at present, by name. Removed upstreams are not part of it.
 #ifndef POSTSPREAD_PLANNER_UPSTREAM_SET_H_
 #define POSTSPREAD_PLANNER_UPSTREAM_SET_H_
 
@@ -18,7 +18,7 @@
   void Apply(const EndpointListReport& report);
 
   [[nodiscard]] const Map& by_name() const { return by_name_; }
-  // The version of the list.
+  // Returns the version of the endpoint list.
   [[nodiscard]] std::uint64_t index() const { return index_; }
 
  private:
--- a/src/planner/usage_adapter.h
+++ b/src/planner/usage_adapter.h
@@ -1,4 +1,5 @@
-// Joins the usage broadcast to the planner: customers by name, datagrams as actions.
+// Connects the usage broadcast to the planner: maps customer names to digests, and turns datagrams into
+// actions.
 #ifndef POSTSPREAD_PLANNER_USAGE_ADAPTER_H_
 #define POSTSPREAD_PLANNER_USAGE_ADAPTER_H_
 
@@ -15,16 +16,16 @@
 
 class UsageAdapter {
  public:
-  // `actions`: the list that the planner is filling; outlives this.
+  // The adapter appends to `actions`, the result of the planner's current call, which must outlive it.
   UsageAdapter(const usage::UsageOptions& options, TimePoint now, std::vector<Action>& actions);
 
-  // See usage::UsageTable for these.
+  // usage::UsageTable documents these functions.
   void SetGroup(int size) { table_.SetGroup(size); }
   void Observe(std::string_view customer, double demand, TimePoint now);
   [[nodiscard]] double Demand(std::string_view customer, TimePoint now) const;
-  bool Received(std::string_view bytes, TimePoint now) { return table_.Received(bytes, now); }
+  bool HandleDatagram(std::string_view bytes, TimePoint now) { return table_.Received(bytes, now); }
 
-  // Broadcasts what is due.
+  // Broadcasts the usage that is due.
   void Tick(TimePoint now);
   [[nodiscard]] std::optional<TimePoint> NextTick() const { return table_.NextTick(); }
 
