--- a/tests/planner/class_slots_test.cpp
+++ b/tests/planner/class_slots_test.cpp
@@ -1,4 +1,4 @@
-// Slots of classes across reconfigurations.
+// Tests of the assignment of classes to slots during a reconfiguration.
 #include "planner/class_slots.h"
 
 #include <catch2/catch.hpp>
@@ -22,17 +22,17 @@
   return names;
 }
 
-TEST_CASE("a class keeps its slot, and one that was removed leaves it without a name") {
+TEST_CASE("when a reconfiguration removes a class, the others keep their slots and its slot has no name") {
   const auto merged = MergeClassSlots(Classes({"a", "b", "c"}), Classes({"c", "a"}));
   CHECK(Names(merged) == std::vector<std::string>{"a", "", "c"});
 }
 
-TEST_CASE("a new class takes an unused slot before another is added") {
+TEST_CASE("given an unused slot, when classes are added, the first takes it and the next a slot at the end") {
   const auto merged = MergeClassSlots(Classes({"a", "", "c"}), Classes({"d", "e", "c", "a"}));
   CHECK(Names(merged) == std::vector<std::string>{"a", "d", "c", "e"});
 }
 
-TEST_CASE("a class that stays takes its new settings") {
+TEST_CASE("when a reconfiguration keeps a class, its slot takes the new settings") {
   std::vector<ClassSettings> next = Classes({"a"});
   next[0].priority_weight = 2.5;
   CHECK(MergeClassSlots(Classes({"a"}), next)[0].priority_weight == 2.5);
--- a/tests/planner/planner_fixture.h
+++ b/tests/planner/planner_fixture.h
@@ -1,4 +1,4 @@
-// A planner with two upstreams and a clock, for tests of what goes in and what comes out.
+// A planner with two upstreams and a clock, for tests of its reports and actions.
 #ifndef POSTSPREAD_TESTS_PLANNER_PLANNER_FIXTURE_H_
 #define POSTSPREAD_TESTS_PLANNER_PLANNER_FIXTURE_H_
 
@@ -16,7 +16,7 @@
 
 enum class Counter { kAbsent, kPresent };
 
-// One class, `lookup`, and one plan, `team`.
+// Returns settings with one class, `lookup`, and one plan, `team`.
 inline Settings TestSettings(Counter counter = Counter::kAbsent) {
   Settings out;
   ClassSettings lookup;
@@ -57,43 +57,43 @@
       : planner(TestSettings(counter), 1, std::chrono::seconds(1'000'000), now) {
     EndpointListReport endpoint_list;
     endpoint_list.upstreams = {TestUpstream("a"), TestUpstream("b")};
-    Keep(planner.Report(std::move(endpoint_list), now));
+    SaveActions(planner.Report(std::move(endpoint_list), now));
   }
 
   RequestId Pick(double units = 1) {
     Request request = Lookup(kCustomer);
     request.units = units;
     const Planner::PickResult picked = planner.Pick(request, now);
-    Keep(picked.actions);
+    SaveActions(picked.actions);
     return picked.number;
   }
 
-  void Report(ReportValue report) { Keep(planner.Report(std::move(report), now)); }
+  void Report(ReportValue report) { SaveActions(planner.Report(std::move(report), now)); }
 
-  // Runs the timers up to `until`, and stops at the first that has actions to execute.
+  // Runs the timers that are due by `until`, but stops after the first Tick that returns actions.
   void TickUntil(Clock::time_point until) {
-    last.clear();
-    while (last.empty() && planner.NextTick() && *planner.NextTick() <= until) {
+    last_actions.clear();
+    while (last_actions.empty() && planner.NextTick() && *planner.NextTick() <= until) {
       now = std::max(now, *planner.NextTick());
-      Keep(planner.Tick(now));
+      SaveActions(planner.Tick(now));
     }
   }
 
-  // The last call's action where it was the only one, and of this type.
+  // Returns the action of the last call if the call returned exactly one, and of this type.
   template <typename T>
-  std::optional<T> Only() const {
-    if (last.size() != 1 || !std::holds_alternative<T>(last[0])) return std::nullopt;
-    return std::get<T>(last[0]);
+  std::optional<T> OnlyAction() const {
+    if (last_actions.size() != 1 || !std::holds_alternative<T>(last_actions[0])) return std::nullopt;
+    return std::get<T>(last_actions[0]);
   }
 
   inline static const std::string kCustomer = "0000000000000001";
 
   Clock::time_point now{std::chrono::seconds(50)};
   Planner planner;
-  std::vector<Action> last;  // actions of the last call
+  std::vector<Action> last_actions;  // The actions of the last call.
 
  private:
-  void Keep(Actions actions) { last.assign(actions.begin(), actions.end()); }
+  void SaveActions(Actions actions) { last_actions.assign(actions.begin(), actions.end()); }
 };
 
 }  // namespace postspread::planner
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -1,4 +1,4 @@
-// The facade: actions out, reports in, and no other way between the network and the decision module.
+// Tests of the planner through its interface: the actions that it returns, and the reports that it takes.
 #include "planner/planner.h"
 
 #include <catch2/catch.hpp>
@@ -15,74 +15,77 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a request is sent, and retried at another upstream after a failed attempt") {
+TEST_CASE("when an attempt has failed to connect, the planner retries the request at another upstream") {
   PlannerFixture fixture;
   const RequestId number = fixture.Pick();
-  const auto first = fixture.Only<StartAttempt>();
+  const auto first = fixture.OnlyAction<StartAttempt>();
   REQUIRE(first);
   CHECK(first->request == number);
   CHECK(first->attempt == 0);
   CHECK(first->timeout == milliseconds(1990));
   fixture.Report(
       AttemptReport{number, 0, first->upstream, AttemptResult::kConnectFailed, microseconds(9), {}});
-  const auto second = fixture.Only<StartAttempt>();
+  const auto second = fixture.OnlyAction<StartAttempt>();
   REQUIRE(second);
   CHECK(second->attempt == 1);
   CHECK(second->upstream != first->upstream);
   fixture.Report(AttemptReport{number, 1, second->upstream, AttemptResult::kSucceeded, microseconds(9), {}});
-  CHECK(fixture.last.empty());
+  CHECK(fixture.last_actions.empty());
   CHECK(fixture.Pick() != number);
 }
 
-TEST_CASE("the counter is called once, and its reply admits the request") {
+TEST_CASE(
+    "given a counter, when a request arrives, the planner calls it once and admits the request on its "
+    "reply") {
   PlannerFixture fixture(Counter::kPresent);
   fixture.Pick(2);
-  const auto call = fixture.Only<CallCounter>();
+  const auto call = fixture.OnlyAction<CallCounter>();
   REQUIRE(call);
   CHECK(call->amount == 2);
   CHECK(call->name.find(PlannerFixture::kCustomer) == 0);
   fixture.Report(CounterReport{call->name, CounterResult::kAdded, 2, microseconds(900)});
-  CHECK(fixture.Only<StartAttempt>());
+  CHECK(fixture.OnlyAction<StartAttempt>());
 }
 
-TEST_CASE("a request beyond the quota is rejected at once with a retry-after") {
+TEST_CASE("when the counter reports usage beyond the quota, the request is rejected with a retry-after") {
   PlannerFixture fixture(Counter::kPresent);
   fixture.Pick(4);
   fixture.Report(
-      CounterReport{fixture.Only<CallCounter>()->name, CounterResult::kAdded, 60, microseconds(900)});
-  const auto rejection = fixture.Only<RejectWithRetryAfter>();
+      CounterReport{fixture.OnlyAction<CallCounter>()->name, CounterResult::kAdded, 60, microseconds(900)});
+  const auto rejection = fixture.OnlyAction<RejectWithRetryAfter>();
   REQUIRE(rejection);
   CHECK(rejection->retry_after > microseconds(0));
 }
 
-TEST_CASE("a request without a response ends before its client's timeout") {
+TEST_CASE("when no upstream responds, the planner rejects the request before its client's timeout") {
   PlannerFixture fixture;
   const auto started = fixture.now;
   const RequestId number = fixture.Pick();
-  bool has_ended = false;
-  while (!has_ended && fixture.planner.NextTick() && *fixture.planner.NextTick() <= started + seconds(3)) {
+  bool is_rejected = false;
+  while (!is_rejected && fixture.planner.NextTick() && *fixture.planner.NextTick() <= started + seconds(3)) {
     fixture.TickUntil(started + seconds(3));
-    for (const Action& action : fixture.last) {
+    for (const Action& action : fixture.last_actions) {
       const auto* rejection = std::get_if<RejectWithRetryAfter>(&action);
-      has_ended |= rejection != nullptr && rejection->request == number;
+      is_rejected |= rejection != nullptr && rejection->request == number;
     }
   }
-  CHECK(has_ended);
-  CHECK(fixture.now - started <= milliseconds(1990));  // the response has still to reach the client
+  CHECK(is_rejected);
+  CHECK(fixture.now - started <=
+        milliseconds(1990));  // The network margin is left for the response to reach the client.
 }
 
-TEST_CASE("a disconnected client's attempts are cancelled") {
+TEST_CASE("when a client disconnects, the planner cancels the attempt of its request") {
   PlannerFixture fixture;
   const RequestId number = fixture.Pick();
   fixture.Report(ClientDisconnected{number});
-  const auto cancellation = fixture.Only<CancelAttempt>();
+  const auto cancellation = fixture.OnlyAction<CancelAttempt>();
   REQUIRE(cancellation);
   CHECK(cancellation->request == number);
   fixture.Report(AttemptReport{number, 0, "a", AttemptResult::kCancelled, microseconds(9), {}});
-  CHECK(fixture.last.empty());
+  CHECK(fixture.last_actions.empty());
 }
 
-TEST_CASE("each Tick ends, and the next one is due later") {
+TEST_CASE("when a due Tick has run, the next Tick is due later") {
   PlannerFixture fixture;
   REQUIRE(fixture.planner.NextTick());
   for (int i = 0; i < 20; ++i) {
@@ -91,11 +94,12 @@
     CHECK(*fixture.planner.NextTick() > due);
   }
   const auto due = *fixture.planner.NextTick();
-  fixture.planner.Tick(due - seconds(9));  // a clock that went back changes nothing
+  fixture.planner.Tick(due - seconds(9));  // A clock that goes back has no effect.
   CHECK(*fixture.planner.NextTick() == due);
 }
 
-TEST_CASE("classes that come and go take no more slots than there were at once, other plans are ignored") {
+TEST_CASE(
+    "when reconfigurations replace a class, its slot is reused; when they rename a plan, the plans stay") {
   PlannerFixture fixture;
   Settings next = TestSettings();
   next.classes.push_back(next.classes[0]);
@@ -113,11 +117,11 @@
   next.plans[0].name = "crew";
   CHECK(fixture.planner.Reconfigure(next));
   fixture.Pick();
-  CHECK(std::holds_alternative<StartAttempt>(fixture.last.at(0)));
+  CHECK(std::holds_alternative<StartAttempt>(fixture.last_actions.at(0)));
 }
 
-// How many of 100 concurrent requests go to upstream `b`, whose restart was just listed, by a wall clock that
-// is `skew` ahead.
+// Returns how many of 100 concurrent requests go to upstream `b`, whose restart discovery has just listed.
+// The reported start time comes from a wall clock that is `skew` ahead.
 int CountSentToRestarted(microseconds skew) {
   Settings settings = TestSettings();
   settings.initial_capacity = 0.1;
@@ -146,12 +150,14 @@
   return sent;
 }
 
-TEST_CASE("a restarted upstream gets a slow start, however far the wall clocks are apart") {
-  const int usual = CountSentToRestarted(seconds(0));
-  CHECK(usual < 25);
+TEST_CASE(
+    "given skewed wall clocks, when an upstream restarts, it gets no more requests than its slow start "
+    "allows") {
+  const int without_skew = CountSentToRestarted(seconds(0));
+  CHECK(without_skew < 25);
   for (const seconds skew : {seconds(1), seconds(60), seconds(3'600)}) {
-    CHECK(CountSentToRestarted(skew) <= usual);
-    CHECK(CountSentToRestarted(-skew) <= usual + 1);
+    CHECK(CountSentToRestarted(skew) <= without_skew);
+    CHECK(CountSentToRestarted(-skew) <= without_skew + 1);
   }
 }
 
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -1,4 +1,5 @@
-// Starts of upstreams, reported as wall time, while the wall clock here or there is stepped.
+// Tests of the estimated start times of upstreams while a wall clock is skewed or stepped. Discovery reports
+// start times as wall time, so a clock that differs would otherwise make a restart look too old or hide it.
 #include "planner/start_times.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +26,9 @@
   return report.upstreams.front().started;
 }
 
-TEST_CASE("a start is no older than the list before the one that reports it, and no younger than that one") {
+TEST_CASE(
+    "given a skewed clock, when a list reports a new start, the estimate lies between the last list and this "
+    "one") {
   for (const microseconds step :
        {microseconds(0), microseconds(seconds(1)), microseconds(minutes(1)), microseconds(hours(1))}) {
     for (const microseconds skew : {step, -step}) {
@@ -40,33 +43,36 @@
       CHECK(estimate >= before);
       CHECK(estimate <= after);
       if (skew == microseconds(0)) CHECK(estimate == started);
-      // Reported again it is the same start, not a restart.
+      // A start that is reported again is not a restart.
       CHECK(Estimate(starts, EndpointUpdateKind::kSnapshot, reported, after + minutes(1)) == estimate);
     }
   }
 }
 
-TEST_CASE("the first list is trusted, except for starts in the future") {
+TEST_CASE("when the first list arrives, its start times are accepted, except those in the future") {
   StartTimes starts;
   CHECK(Estimate(starts, EndpointUpdateKind::kPersisted, milliseconds(0), kNow) == microseconds(0));
   CHECK(Estimate(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow) == kNow - seconds(30));
-  StartTimes others;
-  CHECK(Estimate(others, EndpointUpdateKind::kSnapshot, kNow + hours(1), kNow) == kNow);
+  StartTimes other_starts;
+  CHECK(Estimate(other_starts, EndpointUpdateKind::kSnapshot, kNow + hours(1), kNow) == kNow);
 }
 
-TEST_CASE("an upstream that is removed and listed again with the same start has not restarted") {
+TEST_CASE(
+    "when a removed upstream is listed again with the same start, its estimate stays; a new start changes "
+    "it") {
   StartTimes starts;
   const microseconds first = Estimate(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow);
   EndpointListReport removal =
       List(EndpointUpdateKind::kChanges, kNow - seconds(30), UpstreamState::kRemoved);
   starts.Apply(removal, kNow + seconds(1));
   CHECK(Estimate(starts, EndpointUpdateKind::kChanges, kNow - seconds(30), kNow + seconds(60)) == first);
-  // And with another start it has, even where that looks older.
+  // A different start is a restart, even if it looks older.
   CHECK(Estimate(starts, EndpointUpdateKind::kChanges, kNow - hours(1), kNow + seconds(90)) ==
         kNow + seconds(90));
 }
 
-TEST_CASE("a late list may report a start from before the list before it") {
+TEST_CASE(
+    "when a late list reports a start shortly before the previous list, the estimate is that list's time") {
   StartTimes starts;
   Estimate(starts, EndpointUpdateKind::kSnapshot, milliseconds(0), kNow);
   CHECK(Estimate(starts, EndpointUpdateKind::kChanges, kNow - seconds(4), kNow + seconds(1)) == kNow);
--- a/tests/planner/subsystems_test.cpp
+++ b/tests/planner/subsystems_test.cpp
@@ -1,4 +1,5 @@
-// The subsystems behind the facade: the usage broadcast, membership with idempotency, subsetting.
+// Tests of the planner's subsystems through its interface: usage broadcast, membership with idempotency, and
+// subsetting.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <functional>
@@ -16,8 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Five requests a second of one customer. The counter rejects its calls, or where `total` is above 0 replies
-// with it from the second request on. Returns how many attempts were started.
+// Sends five requests per second of one customer. The counter rejects all calls, but if `total` is above 0 it
+// replies with `total` from the second request on. Returns the number of started attempts.
 int CountAdmitted(Planner& planner, Clock::time_point now, int requests, double total) {
   int admitted = 0;
   for (int i = 0; i < requests; ++i, now += milliseconds(200)) {
@@ -45,7 +46,9 @@
   return admitted;
 }
 
-TEST_CASE("where the counter is overloaded, the usage that one gateway observed guides the others") {
+TEST_CASE(
+    "given an overloaded counter, when a gateway broadcasts a customer's usage, others admit fewer "
+    "requests") {
   Settings settings = TestSettings(Counter::kPresent);
   settings.group_size = 100;
   settings.can_message_peers = true;
@@ -58,7 +61,7 @@
   Planner informed(settings, 2, seconds(1'000'000), now, options);
   Planner uninformed(settings, 2, seconds(1'000'000), now, options);
   for (Planner* each : {&sender, &informed, &uninformed}) each->Report(endpoint_list, now);
-  CountAdmitted(sender, now, 10, 200);  // some twenty times its rate
+  CountAdmitted(sender, now, 10, 200);  // The counter reports about 20 times the customer's rate.
   now += seconds(2);
   std::string bytes;
   while (bytes.empty() && sender.NextTick() && now < Clock::time_point(seconds(60))) {
@@ -73,7 +76,7 @@
   CHECK(CountAdmitted(informed, now, 50, 0) < 10);
 }
 
-// Two gateways with idempotency and membership, whose membership datagrams reach each other.
+// Two gateways with idempotency and membership, which exchange membership datagrams.
 class TwoGateways {
  public:
   TwoGateways() {
@@ -94,7 +97,7 @@
     options.idempotency.enabled = true;
     options.membership.enabled = true;
     options.has_peers = true;
-    options.name = "gk-" + std::to_string(rank);
+    options.name = "gateway-" + std::to_string(rank);
     options.peer = static_cast<membership::PeerId>(rank);
     options.seeds = {0, 1};
     Settings own = settings_;
@@ -102,16 +105,17 @@
     planners_[rank] = std::make_unique<Planner>(own, 1, wall, now_, options);
   }
 
-  void Leave(int rank) { Exchange(rank, planners_[rank]->Leave(now_)); }
+  void Leave(int rank) { DeliverDatagrams(rank, planners_[rank]->Leave(now_)); }
 
   void RunThreeSeconds() {
     for (int i = 0; i < 30; ++i, now_ += milliseconds(100)) {
-      for (const int rank : {0, 1}) Exchange(rank, planners_[rank]->Tick(now_));
+      for (const int rank : {0, 1}) DeliverDatagrams(rank, planners_[rank]->Tick(now_));
     }
   }
 
-  // Whether the first gateway starts work under a new key at once, with no replica to ask.
-  bool StartsAlone(const char* key) {
+  // Returns whether the first gateway starts a request with a new key at once, because it has no replica to
+  // query.
+  bool StartsAtOnce(const char* key) {
     const Planner::PickResult picked = planners_[0]->Pick({.class_name = "lookup",
                                                            .plan = "team",
                                                            .customer = "0000000000000001",
@@ -126,12 +130,12 @@
   }
 
  private:
-  // Passes one's membership datagrams to the other, and the replies back.
-  void Exchange(int from, Actions actions) {
+  // Delivers the membership datagrams of one gateway to the other, and the replies back.
+  void DeliverDatagrams(int from, Actions actions) {
     for (const Action& action : std::vector<Action>(actions.begin(), actions.end())) {
       const auto* datagram = std::get_if<SendMembershipDatagram>(&action);
       if (datagram == nullptr || datagram->peer == static_cast<std::uint64_t>(from)) continue;
-      Exchange(1 - from, planners_[1 - from]->Report(PeerReport{from, datagram->bytes}, now_));
+      DeliverDatagrams(1 - from, planners_[1 - from]->Report(PeerReport{from, datagram->bytes}, now_));
     }
   }
 
@@ -140,18 +144,20 @@
   std::unique_ptr<Planner> planners_[2];
 };
 
-TEST_CASE("a gateway that leaves is no replica of new keys, and is one again when it has rejoined") {
+TEST_CASE(
+    "when a gateway leaves, it is no replica of new keys; when it has rejoined, it is a replica again") {
   TwoGateways gateways;
   gateways.RunThreeSeconds();
-  CHECK_FALSE(gateways.StartsAlone("k1"));
+  CHECK_FALSE(gateways.StartsAtOnce("k1"));
   gateways.Leave(1);
-  CHECK(gateways.StartsAlone("k2"));
+  CHECK(gateways.StartsAtOnce("k2"));
   gateways.Start(1, seconds(1'000'100));
   gateways.RunThreeSeconds();
-  CHECK_FALSE(gateways.StartsAlone("k3"));
+  CHECK_FALSE(gateways.StartsAtOnce("k3"));
 }
 
-// The upstreams that 60 concurrent requests go to. Ends these, and some seconds later returns.
+// Returns the upstreams that 60 concurrent requests go to. Completes these requests and advances
+// `now` by two seconds.
 std::set<std::string> UsedUpstreams(Planner& planner, Clock::time_point& now) {
   std::set<std::string> used;
   std::vector<AttemptReport> reports;
@@ -172,7 +178,7 @@
   return used;
 }
 
-TEST_CASE("a gateway of many uses its subset of the upstreams, and one that drains is replaced at once") {
+TEST_CASE("given subsetting, a gateway uses a few upstreams; when these drain, it uses others at once") {
   Settings settings = TestSettings();
   settings.group_size = 100;
   PlannerOptions options;
@@ -185,7 +191,7 @@
   const std::set<std::string> before = UsedUpstreams(planner, now);
   CHECK(before.size() >= 4);
   CHECK(before.size() <= 8);
-  // All of these drain, by a list of changes: others are used from the next request on.
+  // A list of changes drains all of these. The gateway must use others from the next request on.
   EndpointListReport changes{.kind = EndpointUpdateKind::kChanges, .index = 1, .upstreams = {}};
   for (const std::string& name : before) {
     changes.upstreams.push_back(TestUpstream(name, UpstreamState::kDraining));
--- a/tests/planner/timer_queue_test.cpp
+++ b/tests/planner/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// One-shot timers by due time.
+// Tests of the one-shot timers and their order.
 #include "planner/timer_queue.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,9 @@
 
 using std::chrono::microseconds;
 
-TEST_CASE("timers fire by due time, and in the order of their setting where they are due together") {
+TEST_CASE(
+    "given several timers, they fire by due time, and those due together in the order in which they were "
+    "set") {
   TimerQueue timers;
   CHECK_FALSE(timers.NextDue());
   timers.Set(microseconds(20), 1);
@@ -24,7 +26,7 @@
   CHECK_FALSE(timers.PopDue(microseconds(30), end));
 }
 
-TEST_CASE("a timer set after the given position stays, however soon it is due") {
+TEST_CASE("when a due timer was set after the given position, PopDue leaves it in the queue") {
   TimerQueue timers;
   timers.Set(microseconds(10), 1);
   const TimerQueue::Sequence end = timers.next_sequence();
