--- a/src/discovery/discovery_schedule.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -7,8 +7,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kGroupInterval{200};  // between two calls of a group that was refused
-// Jitter, as factors of the mean backoff, so that gateways are out of step.
+// Mean time between two calls of a group of gateways whose calls were refused.
+constexpr milliseconds kGroupInterval{200};
+// The jitter is a factor of the mean backoff, so that gateways are out of step.
 constexpr double kMinJitter = 0.5;
 constexpr double kMaxJitter = 1.5;
 
@@ -16,7 +17,7 @@
 
 DiscoverySchedule::DiscoverySchedule(std::chrono::microseconds dial_timeout, int group_size,
                                      std::uint64_t seed)
-    : dial_timeout_(std::min<std::chrono::microseconds>(dial_timeout, kMaxDial)),
+    : dial_timeout_(std::min<std::chrono::microseconds>(dial_timeout, kMaxDialTimeout)),
       mean_backoff_(kGroupInterval * std::max(1, group_size)),
       random_(seed) {}
 
@@ -28,15 +29,15 @@
   return std::chrono::floor<milliseconds>(std::min(mean_backoff_, max_mean) * jitter);
 }
 
-// What the sequences of events in the header leave for it.
+// The bound is what the event sequences in the header leave for a backoff.
 milliseconds DiscoverySchedule::MaxBackoff() const {
   const auto dial = std::chrono::ceil<milliseconds>(dial_timeout_);
-  const milliseconds refused_call = dial + kShortWait + kOverdue;
-  const milliseconds answered_call = dial + kOverdue;
-  const milliseconds available = kChangeDeadline - kSpare - refused_call - answered_call;
-  if (refusals_ > 0) return available / 2;  // shared with the backoff before
-  const milliseconds silent_watch = kWait + kOverdue + kRedial;
-  return available - silent_watch;
+  const milliseconds refused_call = dial + kShortWatchWait + kOverdue;
+  const milliseconds successful_call = dial + kOverdue;
+  const milliseconds available = kChangeDeadline - kProcessingReserve - refused_call - successful_call;
+  if (refusals_ > 0) return available / 2;  // the previous backoff takes the other half
+  const milliseconds unresponsive_watch = kWatchWait + kOverdue + kRedialDelay;
+  return available - unresponsive_watch;
 }
 
 }  // namespace postspread::discovery
--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -1,4 +1,5 @@
-// When discovery is polled, and when a call to it times out. No clock, no I/O: events are handed in.
+// Decides when discovery is polled and when a call to it times out. This module has no clock and no I/O: the
+// caller reports events.
 #ifndef POSTSPREAD_DISCOVERY_DISCOVERY_SCHEDULE_H_
 #define POSTSPREAD_DISCOVERY_DISCOVERY_SCHEDULE_H_
 
@@ -8,58 +9,62 @@
 
 namespace postspread::discovery {
 
-// A change has to be in force kChangeDeadline after discovery had it and was reachable, whatever happened to
-// the calls. So each sequence of events from a change to the answer that brings it has to be shorter. The
-// longest ones have two faults in a row; of more the last two count:
-//   - the open watch has fallen silent, and the next call is refused:
-//       kWait + kOverdue, kRedial; dial, kShortWait + kOverdue; backoff; dial, kOverdue
+// A change has to take effect within kChangeDeadline after it is available at a reachable discovery service,
+// whatever happened to the calls. Each sequence of events from a change to the response that contains it has
+// to be shorter. The longest sequences have two consecutive faults; of more faults, only the last two matter:
+//   - the open watch receives nothing more, and the next call is refused:
+//       kWatchWait + kOverdue, kRedialDelay; dial, kShortWatchWait + kOverdue; backoff; dial, kOverdue
 //   - two calls are refused:
-//       backoff; dial, kShortWait + kOverdue; backoff; dial, kOverdue
-// A dial takes Dial() at most; a call times out kOverdue after its wait; a call that is made after the change
-// is answered at once. The backoffs are bounded by what these sequences leave of kChangeDeadline - kSpare.
+//       backoff; dial, kShortWatchWait + kOverdue; backoff; dial, kOverdue
+// A dial takes at most Dial(). A call times out kOverdue after its wait. A call that is made after the change
+// receives its response at once. The backoffs are bounded by what these sequences leave of
+// kChangeDeadline - kProcessingReserve.
 class DiscoverySchedule {
  public:
   static constexpr std::chrono::milliseconds kChangeDeadline{6'000};
-  static constexpr std::chrono::milliseconds kSpare{500};  // of it, for the event loop and the agent
-  // A watch's wait for a change. A short one detects sooner that the agent has fallen silent.
-  static constexpr std::chrono::milliseconds kWait{2'000};
-  static constexpr std::chrono::milliseconds kShortWait{500};  // of the first call after a fault
-  static constexpr std::chrono::milliseconds kOverdue{500};    // beyond the wait: the call has timed out
-  // A watch continues only if it is resumed within 200 ms.
-  static constexpr std::chrono::milliseconds kRedial{100};
-  // The agent is on this machine: a dial that takes longer fails.
-  static constexpr std::chrono::milliseconds kMaxDial{300};
+  // The part of the deadline that is reserved for the event loop and the agent.
+  static constexpr std::chrono::milliseconds kProcessingReserve{500};
+  // How long a watch waits for a change. A shorter wait detects an unresponsive agent sooner.
+  static constexpr std::chrono::milliseconds kWatchWait{2'000};
+  static constexpr std::chrono::milliseconds kShortWatchWait{500};  // wait of the first call after a fault
+  static constexpr std::chrono::milliseconds kOverdue{500};  // time after the wait until a call times out
+  // Delay until the next dial after a lost call: a watch continues only if it is resumed within 200 ms.
+  static constexpr std::chrono::milliseconds kRedialDelay{100};
+  // The discovery agent runs on the same machine, so a dial that takes longer has failed.
+  static constexpr std::chrono::milliseconds kMaxDialTimeout{300};
 
-  // `dial_timeout`: the configured one. `group_size`: gateways that poll. `seed`: of the jitter.
+  // `dial_timeout` is the configured one, `group_size` is the number of gateways that poll, and `seed`
+  // determines the jitter.
   DiscoverySchedule(std::chrono::microseconds dial_timeout, int group_size, std::uint64_t seed);
 
-  // The timeout of a dial.
+  // Returns the timeout of a dial.
   [[nodiscard]] std::chrono::microseconds Dial() const { return dial_timeout_; }
-  // How long the next call may wait for a change.
-  [[nodiscard]] std::chrono::milliseconds Wait() const { return after_fault_ ? kShortWait : kWait; }
+  // Returns how long the next call may wait for a change.
+  [[nodiscard]] std::chrono::milliseconds Wait() const { return after_fault_ ? kShortWatchWait : kWatchWait; }
 
+  // Records that a call received its response.
   void Answered() {
     after_fault_ = false;
     refusals_ = 0;
   }
-  // A connection or call failed or timed out. Returns the time until the next dial.
+  // Records that a connection or a call failed or timed out. Returns the time until the next dial.
   std::chrono::milliseconds Lost() {
     after_fault_ = true;
-    return kRedial;
+    return kRedialDelay;
   }
-  // Discovery refused the call, as it does when overloaded. Returns a backoff with jitter, long enough that a
-  // group that was refused makes some five calls a second or, where the bound does not allow that, as few as
-  // it allows: each call that is refused keeps discovery overloaded.
+  // Records that discovery refused the call, as it does when overloaded. Returns a backoff with jitter, after
+  // which the whole group makes about five calls a second, because each refused call prolongs the overload.
+  // If the bound on backoffs is too short for that, the group makes as few calls as the bound allows.
   std::chrono::milliseconds Refused();
 
  private:
-  // The longest backoff after the refusals so far.
+  // Returns the maximum backoff after the refusals so far.
   [[nodiscard]] std::chrono::milliseconds MaxBackoff() const;
 
   std::chrono::microseconds dial_timeout_;
-  std::chrono::milliseconds mean_backoff_;  // without the bound
+  std::chrono::milliseconds mean_backoff_;  // not yet limited by MaxBackoff()
   bool after_fault_ = false;                // the last call or dial failed
-  int refusals_ = 0;                        // in a row
+  int refusals_ = 0;                        // consecutive
   std::minstd_rand random_;
 };
 
--- a/src/subsetting/subset.cpp
+++ b/src/subsetting/subset.cpp
@@ -10,16 +10,16 @@
 namespace postspread::subsetting {
 namespace {
 
-// If that many times the required upstreams would exceed those that are ready, all are used: a subset of few
-// saves nothing.
+// All ready upstreams are used if there are no more than this multiple of the required ones: a subset would
+// save almost nothing.
 constexpr double kUseAllFactor = 1.5;
-constexpr double kMinFraction = 1e-9;  // what is below is a rounding error
+constexpr double kMinFraction = 1e-9;  // a smaller fraction is a rounding error
 
 std::uint64_t Digest(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
-// Upstreams that are used or left out together.
+// Upstreams that are assigned together: one upstream or the upstreams of one cell.
 struct Group {
-  std::uint64_t order = 0;  // round the ring
+  std::uint64_t order = 0;  // sort key on the ring
   double weight = 0;
   std::vector<std::size_t> upstreams;
 };
@@ -40,7 +40,7 @@
   return zone.groups[index];
 }
 
-// The ready upstreams by zone, in the order of the ring.
+// Returns the ready upstreams by zone, each zone in the order of the ring.
 Zones GroupByZone(Grouping grouping, const std::vector<Upstream>& upstreams) {
   Zones zones;
   for (std::size_t i = 0; i < upstreams.size(); ++i) {
@@ -61,8 +61,8 @@
   return zones;
 }
 
-// How many upstreams of each other zone are required: without zones, or with the own one lost, the others
-// take over what that would have contributed.
+// Returns how many upstreams of each other zone are required. If the gateway has no zone, or fewer than
+// `least` upstreams of its zone are ready, the other zones together replace what that zone would contribute.
 std::size_t RequiredElsewhere(const Limits& limits, std::string_view own_zone, const Zones& zones) {
   const auto own = zones.find(std::string(own_zone));
   const bool has_own = own != zones.end();
@@ -72,7 +72,7 @@
   return std::max(limits.least, (limits.nodes + others - 1) / others);
 }
 
-// The part of the ring that a gateway's arc has to cover so that it holds that many upstreams.
+// Returns the fraction of the ring that a gateway's arc has to cover to contain `required` upstreams.
 double ArcWidth(std::size_t required, std::size_t ready, const RingPosition& position) {
   const auto all = static_cast<double>(ready);
   const auto gateways = static_cast<double>(position.count);
@@ -84,7 +84,7 @@
   for (const std::size_t upstream : group.upstreams) out.push_back({upstream, fraction});
 }
 
-// Adds the groups that the gateway's arc covers.
+// Adds the upstreams of the groups that the gateway's arc covers.
 void AssignArc(const Zone& zone, std::size_t required, const RingPosition& position,
                std::vector<Assignment>& out) {
   if (required == 0 || zone.ready == 0) return;
--- a/src/subsetting/subset.h
+++ b/src/subsetting/subset.h
@@ -1,20 +1,21 @@
-// Deterministic subsetting: which upstreams a gateway uses, so that the choices of all gateways add up to an
-// equal share of gateways for each upstream. Free of I/O and clock. Design: docs/concert-design.md.
+// Deterministic subsetting: selects the upstreams that a gateway uses, so that the choices of all gateways
+// together give each upstream an equal number of gateways. This module has no I/O and no clock. Design:
+// docs/concert-design.md.
 //
-// Gateways and upstreams lie on a ring; a gateway uses the upstreams that its arc covers.
+// Gateways and upstreams are placed on a ring; a gateway uses the upstreams that its arc covers.
 //
-// Promises, for gateways with the same members and upstreams:
-//  - each upstream lies under the same number of arcs, weighted by how much of it each covers; the number of
-//    gateways that use it is within one of the mean among upstreams of one weight;
-//  - a gateway or an upstream that comes or goes changes at most two places of any subset or, where there are
-//    fewer gateways than upstreams, two for each upstream that lies between two gateways (the optimum is
-//    one);
-//  - at least `least` ready upstreams of each zone are in each subset, or all that there are; an upstream
-//  that
-//    is not ready is in none.
-// With members that differ, arcs are off by the difference, and no upstream is left out by more than that.
+// Guarantees for gateways with the same members and upstreams:
+//  - Each upstream is covered by the same number of arcs, weighted by the fraction that each arc covers.
+//  - The number of gateways that use an upstream is within one of the mean for upstreams of its weight.
+//  - A gateway or an upstream that is added or removed changes at most two upstreams of any subset. With
+//    fewer gateways than upstreams, these are two for each upstream between adjacent gateways. The optimum
+//    is one.
+//  - A subset contains at least `least` ready upstreams of each zone, or all of them if there are fewer.
+//  - An upstream that is not ready is in no subset.
+// If gateways differ in their members, the error of the arcs, and of the coverage of any upstream, is bounded
+// by that difference.
 //
-// Cost: sorting the upstreams at each call; called at changes of the endpoint list or of the members.
+// Cost: each call sorts the upstreams. Call it when the endpoint list or the members change.
 #ifndef POSTSPREAD_SUBSETTING_SUBSET_H_
 #define POSTSPREAD_SUBSETTING_SUBSET_H_
 
@@ -26,40 +27,41 @@
 
 namespace postspread::subsetting {
 
-// The operator file's block `concert`.
+// Settings of the operator file's block `concert`.
 struct Limits {
-  bool subsets = false;   // else all upstreams are used
-  std::size_t nodes = 6;  // of the own zone, at least
-  std::size_t least = 2;  // of each other zone, at least
+  bool subsets = false;   // if false, each gateway uses all upstreams
+  std::size_t nodes = 6;  // minimum number of upstreams of the gateway's own zone
+  std::size_t least = 2;  // minimum number of upstreams of each other zone
   bool operator==(const Limits&) const = default;
 };
 
-// The local gateway among the live ones, of which there are `count`.
+// The index of the local gateway among the `count` live ones on the ring.
 struct RingPosition {
   std::size_t index = 0;
   std::size_t count = 1;
 };
 
-// In the order of a hash of names, which all members compute alike. `members` may hold `own` or not.
+// Returns the position of `own` in the order of a hash of the names, which is the same on all members.
+// `members` may or may not contain `own`.
 RingPosition RingPositionOf(std::string_view own, const std::vector<std::string>& members);
 
 struct Upstream {
   std::string name;
-  std::string zone;  // empty in all: there are no zones
+  std::string zone;  // empty for all upstreams if there are no zones
   std::int64_t cell = 0;
   double weight = 1;
   bool ready = true;
 };
 
-// What is chosen or left out as one.
+// The unit of assignment: a single upstream, or all upstreams of a cell.
 enum class Grouping : std::uint8_t { kSingle, kByCell };
 
 struct Assignment {
-  std::size_t upstream = 0;  // index in the list handed in
-  double fraction = 1;       // of it that the gateway's arc covers
+  std::size_t upstream = 0;  // index in the list passed to Subset
+  double fraction = 1;       // fraction of the upstream that the gateway's arc covers
 };
 
-// The upstreams that the gateway uses.
+// Returns the upstreams that the gateway uses.
 std::vector<Assignment> Subset(const Limits& limits, const RingPosition& position, std::string_view own_zone,
                                Grouping grouping, const std::vector<Upstream>& upstreams);
 
--- a/src/usage/limits.h
+++ b/src/usage/limits.h
@@ -1,11 +1,11 @@
-// The operator file's block `demand`.
+// Settings of the operator file's block `demand`.
 #ifndef POSTSPREAD_USAGE_LIMITS_H_
 #define POSTSPREAD_USAGE_LIMITS_H_
 
 namespace postspread::usage {
 
 struct Limits {
-  bool broadcast = false;  // gateways notify one another of customers beyond their quotas
+  bool broadcast = false;  // gateways notify each other of customers that exceed their quotas
   bool operator==(const Limits&) const = default;
 };
 
--- a/src/usage/usage_table.cpp
+++ b/src/usage/usage_table.cpp
@@ -9,24 +9,26 @@
 namespace postspread::usage {
 namespace {
 
-// A datagram is "PSD" and a version, then for each customer its digest, u32 little-endian, and the level of
-// its demand, u8.
+// A datagram consists of "PSD", a version byte and, for each customer, the digest as a little-endian u32 and
+// the level of the demand as a u8.
 constexpr std::string_view kMagic{"PSD\1", 4};
 constexpr std::size_t kDigestBytes = 4;
 constexpr std::size_t kEntryBytes = kDigestBytes + 1;
 
-// Of the datagrams that a gateway can receive: the rest is for bursts and other subsystems.
+// Fraction of a gateway's receive capacity for broadcasts; the rest is for bursts and other subsystems.
 constexpr double kBudgetFraction = 0.6;
-constexpr double kLevelsPerDoubling = 8;            // steps of 9 %
-constexpr int kLevelOfOne = 64;                     // of a demand of 1; the range is 2^-8 to 2^24
-constexpr double kLeastDemand = 1e-9;               // has a logarithm
-constexpr double kSignificantFactor = 1.25;         // a change by it is broadcast at once
-constexpr double kTrackedDemand = 1.0;              // customers beyond their rate are tracked
-constexpr std::chrono::seconds kRepeatInterval{4};  // for gateways that have missed a broadcast
-constexpr std::chrono::seconds kExpiry{12};         // three broadcasts have been missed
+constexpr double kLevelsPerDoubling = 8;     // one level is a step of 9 %
+constexpr int kLevelOfOne = 64;              // the level of a demand of 1; the range is 2^-8 to 2^24
+constexpr double kMinDemand = 1e-9;          // lower bound, so that the logarithm is finite
+constexpr double kSignificantFactor = 1.25;  // a change by more than this factor is broadcast at once
+constexpr double kTrackedDemand = 1.0;       // demand from which a customer is tracked: its rate
+// A demand is broadcast again after this time, for gateways that missed the last broadcast.
+constexpr std::chrono::seconds kRepeatInterval{4};
+// An entry expires when three broadcasts have been missed.
+constexpr std::chrono::seconds kExpiry{12};
 
 std::uint8_t ToLevel(double demand) {
-  const double level = kLevelOfOne + kLevelsPerDoubling * std::log2(std::max(demand, kLeastDemand));
+  const double level = kLevelOfOne + kLevelsPerDoubling * std::log2(std::max(demand, kMinDemand));
   return static_cast<std::uint8_t>(std::clamp(std::round(level), 0.0, 255.0));
 }
 
@@ -73,14 +75,14 @@
 
 void UsageTable::Observe(CustomerDigest customer, double demand, TimePoint now) {
   if (interval_.count() == 0) return;
-  // One that is known is updated even below: the others learn that it has calmed down.
+  // A tracked customer is updated even below its rate, so that the other gateways learn of the decrease.
   if (demand < kTrackedDemand && !entries_.contains(customer)) return;
   Entry& entry = Update(customer, now);
   entry.level = ToLevel(demand);
   if (entry.queued || !IsBroadcastDue(entry, now)) return;
   entry.queued = true;
   queue_.push_back(customer);
-  // Turns pass while there is nothing to send: after a quiet time all gateways would else send at once.
+  // Turns in the past are skipped: otherwise all gateways would send at once after a time without broadcasts.
   if (next_turn_ < now) SkipTurns(now);
 }
 
@@ -95,7 +97,8 @@
 bool UsageTable::Received(std::string_view bytes, TimePoint now) {
   if (bytes.substr(0, kMagic.size()) != kMagic) return false;
   bytes.remove_prefix(kMagic.size());
-  if (bytes.size() % kEntryBytes != 0 || interval_.count() == 0) return true;  // truncated, or not in use
+  // The datagram is ignored if it is truncated or broadcasts are off.
+  if (bytes.size() % kEntryBytes != 0 || interval_.count() == 0) return true;
   for (; !bytes.empty(); bytes.remove_prefix(kEntryBytes)) {
     const CustomerDigest customer = GetDigest(bytes);
     Entry& entry = Update(customer, now);
@@ -103,7 +106,7 @@
     entry.broadcast_level = entry.level;
     entry.broadcast_at = now;
     if (!entry.queued) continue;
-    entry.queued = false;  // another gateway was first
+    entry.queued = false;  // another gateway has broadcast this customer first
     std::erase(queue_, customer);
   }
   return true;
--- a/tests/discovery/discovery_schedule_test.cpp
+++ b/tests/discovery/discovery_schedule_test.cpp
@@ -1,4 +1,4 @@
-// The bound on the delay that faults of discovery cause, in virtual time.
+// Tests of the bound on the delay that discovery faults cause, in virtual time.
 #include "discovery/discovery_schedule.h"
 
 #include <algorithm>
@@ -10,17 +10,18 @@
 
 using std::chrono::milliseconds;
 
-enum class Fault { kSilent, kRefused, kNeverUp };
+enum class Fault { kUnresponsive, kRefused, kDialFailed };
 
-// Plays faults in turn, each step as long as it may be, then a call that is answered. Returns the time since
-// the change, which came when the first fault hid it: as the silent call began, or as the other one failed.
-milliseconds Play(DiscoverySchedule& schedule, const std::vector<Fault>& faults) {
+// Simulates faults one after another, each step as long as possible, then a call that receives a response.
+// Returns the time since the change, which happens when the first fault hides it: when the unresponsive call
+// begins, or when another one fails.
+milliseconds SimulateFaults(DiscoverySchedule& schedule, const std::vector<Fault>& faults) {
   const auto dial = std::chrono::ceil<milliseconds>(schedule.Dial());
   milliseconds at{0};
   for (std::size_t i = 0; i < faults.size(); ++i) {
-    const milliseconds call = schedule.Wait() + schedule.kOverdue;  // a refusal may come as late as that
+    const milliseconds call = schedule.Wait() + schedule.kOverdue;  // a refusal may arrive as late as this
     if (i > 0) at += dial;
-    if (faults[i] == Fault::kSilent || (i > 0 && faults[i] == Fault::kRefused)) at += call;
+    if (faults[i] == Fault::kUnresponsive || (i > 0 && faults[i] == Fault::kRefused)) at += call;
     at += faults[i] == Fault::kRefused ? schedule.Refused() : schedule.Lost();
   }
   at += dial + schedule.kOverdue;
@@ -28,17 +29,18 @@
   return at;
 }
 
-TEST_CASE("after any two faults in a row a change is in force within its deadline, in any group") {
+TEST_CASE(
+    "after any two consecutive faults, a change takes effect within its deadline in a group of any size") {
   for (const int group : {1, 2, 3, 30, 300, 3'000}) {
     for (const milliseconds timeout : {milliseconds(50), milliseconds(250), milliseconds(5'000)}) {
       for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         DiscoverySchedule schedule(timeout, group, seed);
-        for (const Fault first : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
-          for (const Fault second : {Fault::kSilent, Fault::kRefused, Fault::kNeverUp}) {
-            const milliseconds took = Play(schedule, {first, second});
+        for (const Fault first : {Fault::kUnresponsive, Fault::kRefused, Fault::kDialFailed}) {
+          for (const Fault second : {Fault::kUnresponsive, Fault::kRefused, Fault::kDialFailed}) {
+            const milliseconds took = SimulateFaults(schedule, {first, second});
             INFO(group << " gateways, dial " << timeout.count() << " ms, faults " << static_cast<int>(first)
                        << " " << static_cast<int>(second) << ", " << took.count() << " ms");
-            REQUIRE(took <= DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kSpare);
+            REQUIRE(took <= DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kProcessingReserve);
           }
         }
       }
@@ -46,45 +48,45 @@
   }
 }
 
-TEST_CASE("of calls that are refused in a row any two come within the deadline, with the spare left") {
+TEST_CASE("any two consecutive refused calls fit in the deadline, with the processing reserve left") {
   DiscoverySchedule schedule(milliseconds(250), 300, 7);
   for (int i = 0; i < 1'000; ++i) {
     const milliseconds backoffs = schedule.Refused() + schedule.Refused();
-    REQUIRE(backoffs + 2 * (milliseconds(250) + schedule.kOverdue) + schedule.kShortWait <=
-            DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kSpare);
+    REQUIRE(backoffs + 2 * (milliseconds(250) + schedule.kOverdue) + schedule.kShortWatchWait <=
+            DiscoverySchedule::kChangeDeadline - DiscoverySchedule::kProcessingReserve);
   }
 }
 
-TEST_CASE("a group that is refused makes five calls a second, or as few as the bound allows, out of step") {
+TEST_CASE("a refused group makes five calls a second, or as few as the backoff bound allows, out of step") {
   for (const int group : {1, 3, 5, 30, 300}) {
     DiscoverySchedule schedule(milliseconds(250), group, 11);
     schedule.Refused();
     milliseconds sum{0};
-    milliseconds least{milliseconds::max()};
-    milliseconds most{0};
+    milliseconds min_backoff{milliseconds::max()};
+    milliseconds max_backoff{0};
     constexpr int kRounds = 2'000;
     for (int i = 0; i < kRounds; ++i) {
       const milliseconds backoff = schedule.Refused();
       sum += backoff;
-      least = std::min(least, backoff);
-      most = std::max(most, backoff);
+      min_backoff = std::min(min_backoff, backoff);
+      max_backoff = std::max(max_backoff, backoff);
     }
     const double mean = static_cast<double>(sum.count()) / kRounds;
     INFO(group << " gateways, " << mean << " ms");
     CHECK(mean == Approx(std::min(200.0 * group, 1'166.0)).epsilon(0.05));
-    CHECK(most > 2 * least);
+    CHECK(max_backoff > 2 * min_backoff);
   }
 }
 
-TEST_CASE("the first call after a fault has a short wait, the next ones the usual") {
+TEST_CASE("the first call after a fault has a short wait, and later ones have the usual wait") {
   DiscoverySchedule schedule(milliseconds(250), 3, 1);
-  CHECK(schedule.Wait() == DiscoverySchedule::kWait);
+  CHECK(schedule.Wait() == DiscoverySchedule::kWatchWait);
   schedule.Lost();
-  CHECK(schedule.Wait() == DiscoverySchedule::kShortWait);
+  CHECK(schedule.Wait() == DiscoverySchedule::kShortWatchWait);
   schedule.Refused();
-  CHECK(schedule.Wait() == DiscoverySchedule::kShortWait);
+  CHECK(schedule.Wait() == DiscoverySchedule::kShortWatchWait);
   schedule.Answered();
-  CHECK(schedule.Wait() == DiscoverySchedule::kWait);
+  CHECK(schedule.Wait() == DiscoverySchedule::kWatchWait);
 }
 
 }  // namespace
--- a/tests/subsetting/subset_test.cpp
+++ b/tests/subsetting/subset_test.cpp
@@ -1,4 +1,5 @@
-// Subsets of many gateways together: load and connections by upstream, stability, zones, differing views.
+// Tests of the subsets of many gateways together: load and connections per upstream, stability, zones, and
+// gateways with differing views of the members.
 #include "subsetting/subset.h"
 
 #include <algorithm>
@@ -38,7 +39,7 @@
   return *std::max_element(values.begin(), values.end()) / Mean(values);
 }
 
-// Jain's fairness index: 1 if all are equal.
+// Returns Jain's fairness index, which is 1 if all values are equal.
 double Fairness(const std::vector<double>& values) {
   double sum = 0;
   double squares = 0;
@@ -49,16 +50,16 @@
   return sum * sum / (static_cast<double>(values.size()) * squares);
 }
 
-// Over all gateways, by upstream.
+// Sums over all gateways, by upstream.
 struct Totals {
-  std::vector<double> load;  // each gateway contributes 1
+  std::vector<double> load;  // each gateway contributes a load of 1
   std::vector<double> connections;
 };
 
-// Each gateway has its own view of the members.
-Totals Add(const Limits& limits, const std::vector<std::vector<std::string>>& views,
-           const std::vector<std::string>& members, const std::vector<Upstream>& upstreams,
-           const std::string& zone = "zone-0") {
+// Returns the totals of gateways of which each has its own view of the members.
+Totals SumOverGateways(const Limits& limits, const std::vector<std::vector<std::string>>& views,
+                       const std::vector<std::string>& members, const std::vector<Upstream>& upstreams,
+                       const std::string& zone = "zone-0") {
   Totals out{std::vector<double>(upstreams.size(), 0), std::vector<double>(upstreams.size(), 0)};
   for (std::size_t i = 0; i < members.size(); ++i) {
     const std::vector<Assignment> assignments =
@@ -73,35 +74,36 @@
   }
   return out;
 }
-Totals Add(const Limits& limits, const std::vector<std::string>& members,
-           const std::vector<Upstream>& upstreams) {
-  return Add(limits, std::vector<std::vector<std::string>>(members.size(), members), members, upstreams);
+Totals SumOverGateways(const Limits& limits, const std::vector<std::string>& members,
+                       const std::vector<Upstream>& upstreams) {
+  return SumOverGateways(limits, std::vector<std::vector<std::string>>(members.size(), members), members,
+                         upstreams);
 }
 
-TEST_CASE("with equal views the load of upstreams is equal, and connections are within one of the mean") {
+TEST_CASE("given equal views, the load of upstreams is equal, and connections are within one of the mean") {
   for (const int gateways : {3, 16, 100, 300}) {
     for (const int count : {9, 30, 60, 200}) {
       const std::vector<Upstream> upstreams = Upstreams(count);
-      const Totals totals = Add(kLimits, Members(gateways), upstreams);
+      const Totals totals = SumOverGateways(kLimits, Members(gateways), upstreams);
       INFO(gateways << " gateways, " << count << " upstreams");
       CHECK(MaxOverMean(totals.load) <= 1.05);
       CHECK(Fairness(totals.load) >= 0.999);
       const double mean = Mean(totals.connections);
       for (const double connections : totals.connections) CHECK(std::abs(connections - mean) <= 1.0 + 1e-9);
-      // Of many upstreams a subset is used.
+      // If there are many upstreams, gateways use a subset.
       if (count >= 60) CHECK(mean <= 0.5 * gateways);
     }
   }
-  // By weight: an upstream of weight two gets twice as much.
+  // Load is proportional to weight: an upstream of weight two gets twice as much.
   std::vector<Upstream> upstreams = Upstreams(60);
   for (int i = 0; i < 60; i += 3) upstreams[static_cast<std::size_t>(i)].weight = 2;
-  const Totals totals = Add(kLimits, Members(100), upstreams);
+  const Totals totals = SumOverGateways(kLimits, Members(100), upstreams);
   const double unit = 100.0 / 80;
   for (std::size_t i = 0; i < 60; ++i)
     CHECK(totals.load[i] == Approx(unit * upstreams[i].weight).epsilon(0.05));
 }
 
-// How many upstreams are in the second subset and not in the first.
+// Returns how many upstreams are in the second subset but not in the first.
 std::size_t Added(const std::vector<Assignment>& before, const std::vector<Upstream>& old_upstreams,
                   const std::vector<Assignment>& after, const std::vector<Upstream>& new_upstreams) {
   std::set<std::string> former;
@@ -119,7 +121,7 @@
   return Subset(kLimits, RingPositionOf(own, members), "zone-0", Grouping::kSingle, upstreams);
 }
 
-TEST_CASE("a gateway or an upstream that comes or goes changes at most two upstreams of a subset") {
+TEST_CASE("when a gateway or an upstream is added or removed, at most two upstreams of a subset change") {
   for (const int gateways : {16, 100, 300}) {
     for (const int count : {30, 60, 200}) {
       const std::vector<std::string> members = Members(gateways);
@@ -128,11 +130,11 @@
       grown.push_back({"s-new", "zone-0", 0, 1, true});
       std::vector<Upstream> shrunk = upstreams;
       shrunk[4].ready = false;
-      std::size_t most = 0;
+      std::size_t max_added = 0;
       for (const std::string& own : members) {
         const std::vector<Assignment> before = SubsetOf(own, members, upstreams);
         const auto compare = [&](const std::vector<Assignment>& after, const std::vector<Upstream>& now) {
-          most = std::max(most, Added(before, upstreams, after, now));
+          max_added = std::max(max_added, Added(before, upstreams, after, now));
         };
         std::vector<std::string> more = members;
         more.push_back("gk-new");
@@ -147,12 +149,13 @@
                            [](const Assignment& assignment) { return assignment.upstream == 4; }));
       }
       INFO(gateways << " gateways, " << count << " upstreams");
-      CHECK(most <= 2 * static_cast<std::size_t>((count + gateways - 1) / gateways));
+      CHECK(max_added <= 2 * static_cast<std::size_t>((count + gateways - 1) / gateways));
     }
   }
 }
 
-TEST_CASE("with views that differ by a fifth of the members loads are similar, and no upstream is left out") {
+TEST_CASE(
+    "given views that differ by a fifth of the members, loads are similar, and no upstream is left out") {
   std::mt19937_64 random(5);
   for (const int gateways : {100, 300}) {
     const std::vector<std::string> members = Members(gateways);
@@ -164,22 +167,22 @@
       }
       views.push_back(std::move(view));
     }
-    const Totals totals = Add(kLimits, views, members, Upstreams(60));
+    const Totals totals = SumOverGateways(kLimits, views, members, Upstreams(60));
     CHECK(Fairness(totals.load) >= 0.98);
     CHECK(*std::min_element(totals.load.begin(), totals.load.end()) > 0);
-    // Two sides of a partition: each covers the whole ring by itself.
+    // Each side of a network partition covers the whole ring by itself.
     std::vector<std::vector<std::string>> halves;
     for (std::size_t i = 0; i < members.size(); ++i) {
       std::vector<std::string> view;
       for (std::size_t m = i % 2; m < members.size(); m += 2) view.push_back(members[m]);
       halves.push_back(std::move(view));
     }
-    const Totals split = Add(kLimits, halves, members, Upstreams(60));
+    const Totals split = SumOverGateways(kLimits, halves, members, Upstreams(60));
     CHECK(MaxOverMean(split.load) <= 1.15);
   }
 }
 
-TEST_CASE("each zone is used, the others replace a lost one, and cells are used as a whole") {
+TEST_CASE("each zone is used, the other zones replace a lost one, and each cell is used as a whole") {
   const std::vector<std::string> members = Members(300);
   std::vector<Upstream> upstreams = Upstreams(180, 3);
   const auto by_zone = [&](const std::vector<Assignment>& assignments) {
@@ -203,7 +206,7 @@
         by_zone(Subset(kLimits, RingPositionOf(own, members), "zone-1", Grouping::kSingle, upstreams));
     CHECK(zones.at("zone-0") >= 6);
     CHECK(zones.at("zone-2") >= 6);
-    CHECK(zones.at("zone-1") == 1);  // all that is ready
+    CHECK(zones.at("zone-1") == 1);  // the only ready upstream of the zone
   }
   upstreams = Upstreams(180, 3);
   for (const std::string& own : members) {
@@ -214,7 +217,7 @@
     for (const auto& [cell, count] : cells) CHECK(count == 5);
     CHECK(assignments.size() >= 18);
   }
-  // Few upstreams are all used.
+  // If there are few upstreams, or a single gateway, all upstreams are used.
   CHECK(Subset(kLimits, RingPositionOf("gk-0", Members(3)), "zone-0", Grouping::kSingle, Upstreams(9, 3))
             .size() == 9);
   CHECK(Subset(kLimits, RingPositionOf("gk-0", {}), "", Grouping::kSingle, Upstreams(200)).size() == 200);
--- a/tests/usage/usage_table_test.cpp
+++ b/tests/usage/usage_table_test.cpp
@@ -1,4 +1,4 @@
-// Broadcasts of customers' demand: their rate, what is broadcast, bounds, and corrupt datagrams.
+// Tests of the broadcasts of customers' demand: their rate and content, the bounds, and corrupt datagrams.
 #include "usage/usage_table.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr TimePoint kStart = seconds(1'000);
 
-// Gateways that were started at the same moment; each receives all datagrams of the others.
+// Gateways that were started at the same time. Each receives all datagrams of the others.
 struct Group {
   explicit Group(int size) {
     for (int i = 0; i < size; ++i) {
@@ -23,7 +23,7 @@
           std::make_unique<UsageTable>(UsageOptions{size, 40, static_cast<std::uint64_t>(i)}, kStart));
     }
   }
-  // In steps of 10 ms. Returns the datagrams in the busiest second.
+  // Runs for `length` in steps of 10 ms. Returns the maximum number of datagrams in a second.
   std::size_t Run(
       std::chrono::seconds length, const std::function<void()>& before_step = [] {}) {
     std::vector<std::size_t> by_second(static_cast<std::size_t>(length.count()), 0);
@@ -44,24 +44,28 @@
   }
   TimePoint now = kStart;
   std::vector<std::unique_ptr<UsageTable>> tables;
-  std::size_t sent = 0;     // bytes
-  std::size_t longest = 0;  // datagram, in bytes
+  std::size_t sent = 0;     // bytes of all datagrams
+  std::size_t longest = 0;  // bytes of the longest datagram
 };
 
-TEST_CASE("a hundred gateways that observe something after a quiet time do not broadcast it all at once") {
+TEST_CASE(
+    "given a hundred gateways without broadcasts for a while, when all observe a customer, they do not all "
+    "broadcast at once") {
   Group group(100);
   group.now += seconds(60);
   std::uint32_t customer = 0;
   for (auto& table : group.tables) table->Observe(++customer, 2.0, group.now);
-  CHECK(group.Run(seconds(5)) <= 40);  // that one can receive
+  CHECK(group.Run(seconds(5)) <= 40);  // datagrams that one gateway can receive in a second
 }
 
-TEST_CASE("gateways that start and observe together broadcast out of step and within the budget") {
+TEST_CASE(
+    "when gateways start and observe customers at the same time, they broadcast out of step and within the "
+    "budget") {
   for (const int size : {3, 100, 200}) {
     Group group(size);
     std::uint32_t customer = 0;
     const std::size_t busiest = group.Run(seconds(8), [&] {
-      // Each observes five customers a second: more than can be broadcast.
+      // Each gateway observes five customers a second, which is more than can be broadcast.
       for (auto& table : group.tables) {
         if (group.now.count() % 200'000 == 0) table->Observe(++customer % 3'000, 2.0, group.now);
       }
@@ -72,10 +76,10 @@
   }
 }
 
-TEST_CASE("a broadcast is repeated only for a significant change or after a while") {
+TEST_CASE("a demand is broadcast again only after a significant change or the repeat interval") {
   Group group(2);
   group.tables[0]->Observe(1, 2.0, group.now);
-  group.tables[1]->Observe(1, 2.0, group.now);  // both observe it; the first broadcast is for both
+  group.tables[1]->Observe(1, 2.0, group.now);  // both observe the customer, and one broadcast is enough
   group.Run(seconds(1));
   CHECK(group.sent == 9);
   group.tables[1]->Observe(1, 2.1, group.now);
@@ -101,19 +105,20 @@
   CHECK(group.tables[1]->Demand(1, group.now + seconds(13)) < 0);
 }
 
-TEST_CASE("a table has no more customers than its bound, and evicts the least recent") {
+TEST_CASE(
+    "when more customers are observed than a table may hold, it evicts the least recently updated ones") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
   for (std::uint32_t i = 0; i < 3 * kMaxEntries; ++i) table.Observe(i, 2.0, kStart + milliseconds(i / 10));
   CHECK(table.size() == kMaxEntries);
   CHECK(table.Demand(3 * kMaxEntries - 1, kStart + seconds(1)) == Approx(2.0).epsilon(0.05));
 }
 
-TEST_CASE("corrupt datagrams do no harm, and other subsystems' are ignored") {
+TEST_CASE("corrupt datagrams and those of other subsystems are ignored") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
   CHECK_FALSE(table.Received("PSK\1whatever", kStart));
   CHECK_FALSE(table.Received("", kStart));
-  CHECK(table.Received(std::string("PSD\1") + "abcd",
-                       kStart));  // truncated within an entry: rejected as a whole
+  // The datagram is truncated within an entry, so all of it is ignored.
+  CHECK(table.Received(std::string("PSD\1") + "abcd", kStart));
   CHECK(table.size() == 0);
   std::mt19937 random(20261201);
   for (int i = 0; i < 20'000; ++i) {
