--- a/tests/usage/usage_table_test.cpp
+++ b/tests/usage/usage_table_test.cpp
@@ -48,9 +48,7 @@
   std::size_t longest = 0;  // bytes of the longest datagram
 };
 
-TEST_CASE(
-    "given a hundred gateways without broadcasts for a while, when all observe a customer, they do not all "
-    "broadcast at once") {
+TEST_CASE("after an idle time, a hundred gateways that observe customers do not all broadcast at once") {
   Group group(100);
   group.now += seconds(60);
   std::uint32_t customer = 0;
@@ -58,9 +56,7 @@
   CHECK(group.Run(seconds(5)) <= 40);  // datagrams that one gateway can receive in a second
 }
 
-TEST_CASE(
-    "when gateways start and observe customers at the same time, they broadcast out of step and within the "
-    "budget") {
+TEST_CASE("gateways that start and observe customers together broadcast out of step and within the budget") {
   for (const int size : {3, 100, 200}) {
     Group group(size);
     std::uint32_t customer = 0;
@@ -113,7 +109,7 @@
   CHECK(table.Demand(3 * kMaxEntries - 1, kStart + seconds(1)) == Approx(2.0).epsilon(0.05));
 }
 
-TEST_CASE("corrupt datagrams and those of other subsystems are ignored") {
+TEST_CASE("corrupt datagrams leave the table within its bound, and those of other subsystems are ignored") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
   CHECK_FALSE(table.Received("PSK\1whatever", kStart));
   CHECK_FALSE(table.Received("", kStart));
