--- a/src/membership/datagram_sender.cpp
+++ b/src/membership/datagram_sender.cpp
@@ -27,7 +27,7 @@
   gossip_.Piggyback(writer, draft.subject);
   if (draft.sync) {
     const SyncPosition next = sync_.Fill(writer, *draft.sync);
-    // A reply goes by the position that its request asked for.
+    // A reply uses the position in its request, and does not advance this member's own.
     if (!std::holds_alternative<Ack>(draft.body)) sync_.set_send_position(next);
   }
   out_.push_back({to, std::move(writer).Seal()});
--- a/src/membership/datagram_sender.h
+++ b/src/membership/datagram_sender.h
@@ -1,5 +1,5 @@
-// Composes datagrams within the budget: head, the entry that matters most to the receiver, gossip, and
-// entries that synchronize views.
+// DatagramSender composes datagrams within the send budget. A datagram holds the head, the entry that matters
+// most to the receiver, gossip, and entries that synchronize views, in this order. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_DATAGRAM_SENDER_H_
 #define POSTSPREAD_MEMBERSHIP_DATAGRAM_SENDER_H_
 
@@ -17,12 +17,12 @@
 
 namespace postspread::membership {
 
-// A message before its common fields and entries are added.
+// A message to which the sender adds the common fields and the entries.
 struct Draft {
   MessageBody body{};
   std::uint64_t number = 0;
-  const MemberRecord* subject = nullptr;  // its entry goes first
-  std::optional<SyncRange> sync{};        // fills the space that gossip leaves
+  const MemberRecord* subject = nullptr;  // The entry of this member, if any, comes first.
+  std::optional<SyncRange> sync{};        // These entries fill the space that gossip leaves.
 };
 
 class DatagramSender {
@@ -30,9 +30,9 @@
   DatagramSender(Context& context, const MemberTable& table, GossipQueue& gossip, ViewSync& sync,
                  SendBudget& budget);
 
-  // False: nothing was sent, for want of budget or because the local member is superseded.
+  // Queues a datagram. Returns false if the budget is exhausted or the local member is superseded.
   bool Send(PeerId to, Priority priority, const Draft& draft);
-  // Those sent since the last call.
+  // Returns the datagrams queued since the last call.
   std::vector<Datagram> TakeDatagrams() { return std::exchange(out_, {}); }
 
   [[nodiscard]] std::uint32_t group() const { return group_; }
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -6,6 +6,7 @@
 namespace postspread::membership {
 namespace {
 
+// Members of all versions must use the same seed, or their views never compare equal.
 constexpr XXH64_hash_t kMemberSeed = 0x766965;
 
 }  // namespace
--- a/src/membership/digest.h
+++ b/src/membership/digest.h
@@ -1,4 +1,5 @@
-// Hashes that all members of a group compute alike: of the group's name, of members, of the probe order.
+// Hash functions for the group's name, for members and for the probe order. All members of a group must
+// compute the same values.
 #ifndef POSTSPREAD_MEMBERSHIP_DIGEST_H_
 #define POSTSPREAD_MEMBERSHIP_DIGEST_H_
 
@@ -9,27 +10,29 @@
 
 namespace postspread::membership {
 
-// Of the group's name.
+// Returns the hash of the group's name.
 std::uint32_t DigestGroup(std::string_view name);
 
-// Of a member in an incarnation. The view's hash is the XOR of these over all live members.
+// Returns the hash of a member in an incarnation. The hash of a view is the XOR of these over all live
+// members.
 std::uint64_t DigestMember(std::string_view name, std::uint64_t incarnation);
 
-// A member's position in the probe order of a protocol period, from its DigestName.
+// Returns a member's position in the probe order of a protocol period. `name_digest` is its DigestName.
 std::uint64_t ProbePosition(std::uint64_t period, std::uint64_t name_digest);
 
-// Of a name alone: fixes a member's bucket and its position in the order of synchronization.
+// Returns the hash of a name alone, which determines a member's bucket and its position in the order of
+// synchronization.
 inline std::uint64_t DigestName(std::string_view name) { return DigestMember(name, 0); }
 
-// Members are divided into buckets by the upper bits of their DigestName, so that two members can find out
-// where their views differ.
+// The upper bits of a member's DigestName assign it to a bucket. Two members compare the hashes of their
+// buckets to find out where their views differ.
 inline constexpr std::size_t kBuckets = 16;
 using BucketHashes = std::array<std::uint16_t, kBuckets>;
 constexpr std::size_t BucketOf(std::uint64_t name_digest) {
   return static_cast<std::size_t>(name_digest >> 60);
 }
 
-// A position in the order of DigestName, to which a synchronization has come.
+// The position in the order of DigestName that a synchronization has reached.
 using SyncPosition = std::uint16_t;
 constexpr SyncPosition SyncPositionOf(std::uint64_t name_digest) {
   return static_cast<SyncPosition>(name_digest >> 48);
--- a/src/membership/event_log.h
+++ b/src/membership/event_log.h
@@ -1,4 +1,4 @@
-// Changes and log lines, collected until the caller takes them.
+// EventLog collects changes and log lines until the caller takes them. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_EVENT_LOG_H_
 #define POSTSPREAD_MEMBERSHIP_EVENT_LOG_H_
 
@@ -15,7 +15,7 @@
  public:
   void Add(Change change) { changes_.push_back(std::move(change)); }
 
-  // A line that an operator should see. After one, others are suppressed for a while.
+  // Adds a line to the log. For kLogInterval after a line, further lines are dropped.
   void Log(std::string line, TimePoint now) {
     if (logged_at_.count() != 0 && now - logged_at_ < kLogInterval) return;
     logged_at_ = now;
@@ -28,7 +28,7 @@
  private:
   static constexpr std::chrono::seconds kLogInterval{10};
 
-  TimePoint logged_at_{0};  // 0: never
+  TimePoint logged_at_{0};  // It is 0 before the first line.
   std::vector<Change> changes_;
   std::vector<std::string> lines_;
 };
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,15 +6,19 @@
 namespace postspread::membership {
 namespace {
 
-constexpr int kIndirectProbeTicks = 2;  // without a reply
+constexpr int kIndirectProbeTicks = 2;  // Indirect probes are sent after this time without a reply.
 constexpr int kProbeTimeoutTicks = 4;
 constexpr std::size_t kIndirectProbes = 3;
-constexpr std::size_t kAlertProbes = 3;  // a period after a suspicion, since faults come together
+// For kAlertPeriods after a suspicion each period has this many probes, since faults tend to be correlated.
+constexpr std::size_t kAlertProbes = 3;
 constexpr int kAlertPeriods = 3;
 constexpr int kConfirmationIntervalTicks = 1;
-constexpr int kLeastConfirmations = 5;            // sent: some may have been held back for want of budget
-constexpr std::size_t kConfirmationsPerTick = 2;  // so that many suspects do not use up the budget
-constexpr int kToleratedFlaps = 2;                // before suspicion takes longer
+// A death needs this many confirmation probes that were sent: some may have been throttled by the budget.
+constexpr int kMinConfirmations = 5;
+// This bound prevents many suspects from exhausting the send budget.
+constexpr std::size_t kConfirmationsPerTick = 2;
+// Each flap beyond these doubles the suspicion timeout.
+constexpr int kToleratedFlaps = 2;
 
 }  // namespace
 
@@ -34,11 +38,11 @@
   alert_periods_ = std::max(alert_periods_ - 1, 0);
 }
 
-// The next ones after the local member in an order that all members draw alike from the period's number: with
-// equal views each member is probed by exactly one.
+// Returns the members that follow the local one in an order that each member derives from the period's
+// number. If all views are equal, exactly one member probes each member.
 std::vector<MemberRecord*> FailureDetector::NextTargets(TimePoint now) {
   struct Candidate {
-    std::uint64_t distance = 0;  // from the local member, round the order
+    std::uint64_t distance = 0;  // The order is circular and starts at the local member.
     MemberRecord* record = nullptr;
   };
   const auto period = static_cast<std::uint64_t>(now / context_.Period());
@@ -65,13 +69,13 @@
   std::erase_if(probes_, [](const Probe& probe) { return probe.finished; });
 }
 
-// Ticks are not exact: each deadline counts as reached half a tick before it is.
+// Ticks are not exact, so a deadline counts as reached half a tick early.
 void FailureDetector::Advance(Probe& probe, MemberRecord& target, TimePoint now) {
   const Duration tick = context_.TickInterval();
   const Duration elapsed = now - probe.started_at;
-  if (elapsed < tick / 2) return;  // sent in this tick
+  if (elapsed < tick / 2) return;  // The probe was sent in this tick.
   if (elapsed < kProbeTimeoutTicks * tick - tick / 2) {
-    // Repeated each tick, so that one lost datagram does not cause a suspicion.
+    // The probe is repeated in each tick, so that one lost datagram does not cause a suspicion.
     requests_.Ping(Purpose::kProbe, target, now);
     if (!probe.indirect && elapsed >= kIndirectProbeTicks * tick - tick / 2) {
       probe.indirect = true;
@@ -99,8 +103,8 @@
 }
 
 void FailureDetector::ConfirmSuspects(TimePoint now) {
-  // The timeouts stand still while the lack of replies may be the local member's own fault.
-  const bool is_isolated = context_.Defends(DisabledDefense::kLocalHealth) && requests_.IsIsolated(now);
+  // The timeouts are paused while the lack of replies may be the local member's own fault.
+  const bool is_isolated = context_.HasDefense(DisabledDefense::kLocalHealth) && requests_.IsIsolated(now);
   std::size_t sent = 0;
   for (MemberRecord* suspect : Suspects()) {
     if (is_isolated) suspect->suspicion.started_at += context_.TickInterval();
@@ -112,7 +116,7 @@
   }
 }
 
-// In random order, so that none is left out where there are more than can be probed in a tick.
+// Returns the suspects in random order, so that none is starved if there are more than kConfirmationsPerTick.
 std::vector<MemberRecord*> FailureDetector::Suspects() {
   std::vector<MemberRecord*> out;
   const std::vector<MemberRecord*>& live = table_.Live();
@@ -124,8 +128,8 @@
 
 bool FailureDetector::IsConfirmed(const MemberRecord& suspect, TimePoint now) const {
   if (now - suspect.suspicion.started_at < SuspicionTimeout(suspect)) return false;
-  return suspect.suspicion.confirmations >= kLeastConfirmations ||
-         !context_.Defends(DisabledDefense::kConfirmation);
+  return suspect.suspicion.confirmations >= kMinConfirmations ||
+         !context_.HasDefense(DisabledDefense::kConfirmation);
 }
 
 Duration FailureDetector::SuspicionTimeout(const MemberRecord& suspect) const {
@@ -134,7 +138,7 @@
 }
 
 bool FailureDetector::SendConfirmationProbe(MemberRecord& suspect, TimePoint now) {
-  if (!context_.Defends(DisabledDefense::kConfirmation)) return false;
+  if (!context_.HasDefense(DisabledDefense::kConfirmation)) return false;
   const Duration tick = context_.TickInterval();
   Suspicion& suspicion = suspect.suspicion;
   if (now - suspicion.last_confirmation_at < kConfirmationIntervalTicks * tick - tick / 2) return false;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,6 +1,6 @@
-// Finds out which members have failed, as SWIM does: one member is probed a protocol period, indirectly if it
-// does not reply, and then suspected. Unlike there only a member that has sent a suspect confirmation probes
-// in vain declares it dead.
+// FailureDetector detects failed members as in SWIM: it probes one member in each protocol period, probes it
+// indirectly if it does not reply, and then suspects it. Unlike in SWIM, a member declares a suspect dead
+// only after its own confirmation probes to the suspect have gone without a reply. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define POSTSPREAD_MEMBERSHIP_FAILURE_DETECTOR_H_
 
@@ -23,29 +23,30 @@
   FailureDetector(Context& context, MemberTable& table, Requests& requests, UpdateMerger& merger,
                   LocalHealth& health, EventLog& events);
 
-  // Probes the members whose turn it is.
+  // Begins a protocol period: probes the next members in the probe order.
   void StartPeriod(TimePoint now);
-  // Each tick: repeats probes, asks for indirect ones, suspects who has not replied.
+  // Runs in each tick: repeats probes, requests indirect ones, and suspects members that have not replied.
   void CheckProbes(TimePoint now);
-  // Each tick: sends confirmation probes to suspects, and declares dead who has not replied for long enough.
+  // Runs in each tick: sends confirmation probes to suspects, and declares dead those whose timeout has
+  // elapsed.
   void ConfirmSuspects(TimePoint now);
 
-  // The subject of this request has replied.
+  // Handles a reply of the request's subject: its probe and its suspicion end.
   void OnAlive(const Request& request, TimePoint now);
-  // Another member could not reach the subject either.
+  // Handles the notice that another member could not reach the subject either.
   void OnNack(const Request& request);
-  // The local member was not running for `late`: deadlines are moved by as much.
+  // Moves all deadlines by `late`, for which the local member was not running.
   void Postpone(Duration late);
 
-  // No probe is in flight and nobody is suspected.
+  // Returns whether no probe is in flight and no member is suspected.
   [[nodiscard]] bool IsIdle();
 
  private:
   struct Probe {
     std::string name;
     TimePoint started_at{0};
-    bool indirect = false;  // other members have been asked
-    bool nacked = false;    // one of them could not reach the target either
+    bool indirect = false;  // Other members have been requested to probe the target.
+    bool nacked = false;    // One of them could not reach the target either.
     bool finished = false;
   };
 
@@ -64,7 +65,7 @@
   LocalHealth& health_;
   EventLog& events_;
   std::vector<Probe> probes_;
-  int alert_periods_ = 0;  // left, in which more members are probed
+  int alert_periods_ = 0;  // For this many further periods more members are probed.
 };
 
 }  // namespace postspread::membership
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -6,11 +6,12 @@
 namespace postspread::membership {
 namespace {
 
-constexpr double kTransmissionFactor = 1.2;  // times log2 of the members
+// The limit of transmissions is this factor times log2 of the members, plus kExtraTransmissions.
+constexpr double kTransmissionFactor = 1.2;
 constexpr int kExtraTransmissions = 2;
-constexpr int kLeastTransmissions = 2;
+constexpr int kMinTransmissions = 2;
 constexpr int kSyncedTransmissions = 2;
-// No datagram of 256 bytes, the default, holds as many; the rest of the queue is not sorted.
+// A datagram of 256 bytes, the default, holds fewer entries, so the rest of the queue need not be sorted.
 constexpr std::size_t kMaxPiggyback = 24;
 
 }  // namespace
@@ -47,9 +48,10 @@
   });
 }
 
-// Those sent least often first, and of these the latest, which so goes out at once however long the queue is.
+// Sorts by fewest transmissions, then by latest change, so that a new update is sent at once however long the
+// queue is.
 void GossipQueue::SortByPrecedence() {
-  if (!context_.Defends(DisabledDefense::kGossipOrder)) return;
+  if (!context_.HasDefense(DisabledDefense::kGossipOrder)) return;
   const auto sorted = static_cast<std::ptrdiff_t>(std::min(queue_.size(), kMaxPiggyback));
   std::partial_sort(queue_.begin(), queue_.begin() + sorted, queue_.end(),
                     [](const MemberRecord* a, const MemberRecord* b) {
@@ -58,13 +60,13 @@
                     });
 }
 
-// A long queue lowers the limit: each update would else be gossiped for longer than it is recent. Other
-// members gossip it as well, and synchronization repairs what is missed.
+// Returns how often an update is sent. A long queue lowers the limit, since an update would otherwise be sent
+// when it is no longer recent. Other members gossip it as well, and synchronization repairs what is missed.
 int GossipQueue::TransmissionLimit() {
   const double log_members = static_cast<double>(std::bit_width(table_.Live().size() + 1));
   const double limit = kTransmissionFactor * log_members + kExtraTransmissions;
   const double datagrams = std::max(1.0, static_cast<double>(queue_.size()) / kMaxPiggyback);
-  return std::max(kLeastTransmissions, static_cast<int>(limit / datagrams));
+  return std::max(kMinTransmissions, static_cast<int>(limit / datagrams));
 }
 
 }  // namespace postspread::membership
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,4 +1,5 @@
-// Dissemination: recent updates ride on every datagram until each has been sent a bounded number of times.
+// GossipQueue disseminates recent updates: they are piggybacked on every datagram until each has been sent a
+// bounded number of times. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_GOSSIP_QUEUE_H_
 #define POSTSPREAD_MEMBERSHIP_GOSSIP_QUEUE_H_
 
@@ -14,13 +15,14 @@
  public:
   GossipQueue(const Context& context, MemberTable& table);
 
-  // The member's update is new: it is sent from the beginning.
+  // Adds a member whose update is new. It is sent up to the full limit.
   void Enqueue(MemberRecord& record);
-  // The update came by synchronization, so many know it already: it is sent a few times only.
+  // Adds a member whose update came by synchronization. It is sent a few times only, since many members know
+  // it.
   void EnqueueSynced(MemberRecord& record);
-  // Before the record is erased.
+  // Removes a member. It must be called before the record is erased.
   void Remove(MemberRecord& record);
-  // Adds what fits, without the record that the datagram holds already (or nullptr).
+  // Adds entries to the datagram while they fit, except for `present`, which it holds already (or nullptr).
   void Piggyback(Writer& writer, const MemberRecord* present);
   [[nodiscard]] bool empty() const { return queue_.empty(); }
 
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,5 +1,5 @@
-// The local health multiplier of Lifeguard: the more signs that the local member itself is slow or badly
-// connected, the longer it waits before it declares others dead.
+// LocalHealth is the local health multiplier of Lifeguard: the more signs there are that the local member
+// itself is slow or badly connected, the longer it waits before it declares others dead.
 #ifndef POSTSPREAD_MEMBERSHIP_LOCAL_HEALTH_H_
 #define POSTSPREAD_MEMBERSHIP_LOCAL_HEALTH_H_
 
@@ -14,14 +14,15 @@
  public:
   explicit LocalHealth(const Context& context) : context_(context) {}
 
-  // A sign of a local fault: others suspected this member, or its own probe failed without a Nack.
+  // Records a sign of a local fault: the group considered this member dead, or its own probe failed without a
+  // Nack.
   void Degrade() {
-    if (context_.Defends(DisabledDefense::kLocalHealth)) score_ = std::min(score_ + 1, kMaxScore);
+    if (context_.HasDefense(DisabledDefense::kLocalHealth)) score_ = std::min(score_ + 1, kMaxScore);
   }
-  // A probe was answered.
+  // Records that a probe received its reply.
   void Recover() { score_ = std::max(score_ - 1, 0); }
 
-  // Of the suspicion timeout.
+  // Returns the factor by which the suspicion timeout is multiplied.
   [[nodiscard]] int Multiplier() const { return 1 + score_; }
 
  private:
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -7,7 +7,7 @@
 namespace postspread::membership {
 namespace {
 
-constexpr std::size_t kRecent = 4;  // members
+constexpr std::size_t kMaxRecentMembers = 4;
 
 }  // namespace
 
@@ -109,7 +109,7 @@
     if (IsLive(record.update.state)) live_.push_back(&record);
   }
   recent_ = by_digest_;
-  const auto count = static_cast<std::ptrdiff_t>(std::min(recent_.size(), kRecent));
+  const auto count = static_cast<std::ptrdiff_t>(std::min(recent_.size(), kMaxRecentMembers));
   std::partial_sort(recent_.begin(), recent_.begin() + count, recent_.end(),
                     [](const MemberRecord* a, const MemberRecord* b) { return a->since > b->since; });
   recent_.resize(static_cast<std::size_t>(count));
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// The members as the local one knows them, the hash of the view over them, and the orders in which they are
-// visited.
+// MemberTable holds the members as the local one knows them, the hash of this view, and the orders in which
+// members are visited. The Membership owns it. It holds at most kMaxMembers members.
 #ifndef POSTSPREAD_MEMBERSHIP_MEMBER_TABLE_H_
 #define POSTSPREAD_MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -22,8 +22,8 @@
 struct Suspicion {
   bool active = false;
   TimePoint started_at{0};
-  TimePoint last_confirmation_at{0};  // when it was last sent a confirmation probe
-  int confirmations = 0;              // probes sent in vain since it was suspected
+  TimePoint last_confirmation_at{0};  // The last confirmation probe was sent at this time.
+  int confirmations = 0;              // This many have been sent since the suspicion began.
 };
 
 struct MemberRecord {
@@ -31,19 +31,21 @@
   std::uint64_t digest = 0;  // DigestName
   PeerId peer = 0;
   MemberUpdate update;
-  TimePoint since{0};  // when state, incarnation or suspicion last changed
+  TimePoint since{0};  // The state, incarnation or suspicion last changed at this time.
   Suspicion suspicion;
-  TimePoint notified_at{0};  // when it was last sent an update about itself that it has to refute
-  int flaps = 0;             // deaths that it refuted; decays
+  // The member was last sent an update about itself, which it has to refute, at this time.
+  TimePoint notified_at{0};
+  // The member has refuted this many deaths recently. The count decays.
+  int flaps = 0;
   TimePoint flapped_at{0};
-  bool queued = false;    // in the gossip queue ...
-  int transmissions = 0;  // ... and sent this often
+  bool queued = false;    // The record is in the gossip queue.
+  int transmissions = 0;  // The update has been sent this often.
 };
 
-// Its state in the local view: as gossiped, or kSuspect.
+// Returns the member's state in the local view: the state in its update, or kSuspect.
 [[nodiscard]] State LocalState(const MemberRecord& record);
 
-// Pointers to records are valid until the record is erased.
+// A pointer to a record is valid until the record is erased.
 class MemberTable {
  public:
   MemberTable(Context& context, const Self& self, TimePoint now);
@@ -51,53 +53,56 @@
   MemberTable(const MemberTable&) = delete;
   MemberTable& operator=(const MemberTable&) = delete;
 
-  // The local member, which Find, Sample and the other members' lists leave out.
+  // Returns the record of the local member, which Find, Sample, Live and others() exclude.
   MemberRecord& self() { return self_; }
   [[nodiscard]] const MemberRecord& self() const { return self_; }
   void SetOwnUpdate(const MemberUpdate& update);
   [[nodiscard]] bool has_left() const { return self_.update.state == State::kLeft; }
-  // Another process has taken over the local member's name and address: nothing is sent any more.
+  // Records that a successor process has taken over the name and address. The local member sends nothing from
+  // then on.
   void SetSuperseded() { superseded_ = true; }
   [[nodiscard]] bool superseded() const { return superseded_; }
-  // A member that leaves or is superseded detects no failures.
+  // Returns whether the local member detects failures. It does not after it has left or was superseded.
   [[nodiscard]] bool detects_failures() const { return !has_left() && !superseded_; }
 
-  // nullptr: unknown.
+  // Returns nullptr if the member is unknown.
   MemberRecord* Find(std::string_view name);
   [[nodiscard]] bool IsFull() const { return others_.size() + 1 >= kMaxMembers; }
-  // Adds a member without an update.
+  // Adds a member, whose update the caller sets.
   MemberRecord& Insert(const std::string& name, PeerId peer);
   // Removes a member that is not live.
   void Erase(MemberRecord& record);
-  // Of those dead or left the one that has been so for longest; nullptr: all are live.
+  // Returns the member that has been dead or left for longest, or nullptr if all are live.
   MemberRecord* OldestDeparted();
 
-  // The part of the view's hash that is this member's: 0 unless it is live.
+  // Returns the member's contribution to the view's hash, which is 0 unless the member is live.
   [[nodiscard]] static std::uint64_t HashOf(const MemberRecord& record);
-  // The record's state or incarnation has changed; HashOf was `hash_before`.
+  // Updates the hashes after a change of the record's state or incarnation. Before it HashOf was
+  // `hash_before`.
   void OnUpdated(const MemberRecord& record, std::uint64_t hash_before);
 
-  // Counts changes that OnUpdated and Erase make known, for caches outside.
+  // Returns the number of changes so far by OnUpdated and Erase, by which callers validate their caches.
   [[nodiscard]] std::uint64_t generation() const { return generation_; }
   [[nodiscard]] std::uint64_t hash() const { return hash_; }
   [[nodiscard]] BucketHashes bucket_hashes() const;
 
-  // All others, by name.
+  // All other members, sorted by name.
   std::map<std::string, MemberRecord, std::less<>>& others() { return others_; }
   [[nodiscard]] const std::map<std::string, MemberRecord, std::less<>>& others() const { return others_; }
-  // Other members that are live, by name.
+  // Returns the other live members, sorted by name.
   const std::vector<MemberRecord*>& Live();
-  // The members that changed last, the latest first, as of the last change of a state.
+  // Returns the members that changed last, latest first, as of the last call of OnUpdated or Erase.
   const std::vector<MemberRecord*>& Recent();
-  // All members, the local one included, by digest.
+  // Returns all members sorted by digest, including the local one.
   [[nodiscard]] const std::vector<MemberRecord*>& by_digest() const { return by_digest_; }
-  // Up to `count` random live members that are not suspected, without the one named `except`.
+  // Returns up to `count` random other members that are live and not suspected, except for the one named
+  // `except`.
   std::vector<MemberRecord*> Sample(std::size_t count, std::string_view except = {});
-  // Brings Live and Recent up to date.
+  // Recomputes the results of Live and Recent if the table has changed.
   void RefreshCaches();
 
   [[nodiscard]] View Snapshot() const;
-  // The update of the member at this address: of the latest incarnation if several were there.
+  // Returns the update of another member at this address, of the latest incarnation if there were several.
   [[nodiscard]] std::optional<MemberUpdate> At(PeerId peer) const;
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,9 +7,10 @@
 namespace postspread::membership {
 namespace {
 
-constexpr std::size_t kContactsPerPeriod = 3;  // to each unoccupied address, of all members together
+// All members together contact each unoccupied address this often.
+constexpr std::size_t kContactsPerPeriod = 3;
 constexpr std::size_t kSyncsPerTick = 2;
-constexpr std::size_t kGossipFanout = 2;  // members a tick
+constexpr std::size_t kGossipFanout = 2;  // members per tick
 constexpr std::size_t kLeaveFanout = 8;   // members
 
 }  // namespace
@@ -28,7 +29,7 @@
       merger_(context_, table_, gossip_, unoccupied_, health_, events_,
               self.may_be_succeeded ? Succession::kAllowed : Succession::kForbidden),
       detector_(context_, table_, requests_, merger_, health_, events_),
-      // Out of step with members that were started at the same moment.
+      // The random phase separates the ticks of members that were started at the same moment.
       next_tick_(now +
                  Duration(context_.RandomBelow(static_cast<std::size_t>(context_.TickInterval().count())))) {
   gossip_.Enqueue(table_.self());
@@ -55,11 +56,12 @@
   budget_.Refill(now);
   if (table_.superseded()) return true;
   MemberRecord* known = table_.Find(message.sender.name);
-  const bool is_former = context_.Defends(DisabledDefense::kIncarnations) && known != nullptr &&
+  const bool is_former = context_.HasDefense(DisabledDefense::kIncarnations) && known != nullptr &&
                          message.sender.update.incarnation < known->update.incarnation;
   if (is_former && from == known->peer) {
     ++context_.counts.former_incarnation;
-    // It may have been restarted on a clock that was set back: it learns that it has to go beyond.
+    // The sender may have been restarted on a clock that was set back. The notice lets it choose a later
+    // incarnation.
     NotifySubject(*known, from, now);
     return true;
   }
@@ -67,7 +69,7 @@
   for (const Entry& entry : message.entries) merger_.Apply(entry, std::nullopt, now);
   const Incoming incoming{from, message, sync_.OnViewHash(message.view_hash, now), now};
   std::visit([&](const auto& body) { Handle(body, incoming); }, message.body);
-  // A live member that is considered dead is notified at once: only itself can refute that.
+  // A live member that is considered dead is notified at once, since only it can refute its death.
   MemberRecord* sender = table_.Find(message.sender.name);
   const bool is_considered_dead = sender != nullptr && sender->update.state == State::kDead;
   if (is_considered_dead && !is_former) NotifySubject(*sender, from, now);
@@ -91,11 +93,11 @@
   }
 }
 
-// Sends what is known of a member to the address that it was heard from, once a tick at most.
-void Membership::NotifySubject(MemberRecord& record, PeerId at, TimePoint now) {
+// Sends the known update of a member to the address of its last datagram, at most once per tick.
+void Membership::NotifySubject(MemberRecord& record, PeerId address, TimePoint now) {
   if (now - record.notified_at < context_.TickInterval()) return;
   record.notified_at = now;
-  requests_.Contact(at, &record, now);
+  requests_.Contact(address, &record, now);
 }
 
 void Membership::Handle(const Ping& /*ping*/, const Incoming& incoming) {
@@ -108,7 +110,8 @@
 
 void Membership::Reply(Priority priority, SyncRange range, const Incoming& incoming) {
   Draft draft{.body = Ack{}, .number = incoming.message.number};
-  // A sender of which something worse is known than it says itself is notified first.
+  // If the known update takes precedence over the sender's own, its entry comes first so that the sender can
+  // refute it.
   const Entry& sender = incoming.message.sender;
   const MemberRecord* known = table_.Find(sender.name);
   if (known != nullptr && known->update > sender.update) draft.subject = known;
@@ -138,7 +141,8 @@
   detector_.OnAlive(*request, incoming.now);
 }
 
-// Whether the subject of the request has replied, and not another process that is at its address now.
+// Returns whether the subject of the request has replied, rather than another process that now has its
+// address.
 bool Membership::IsFromSubject(const Request& request, const Message& reply) {
   if (request.purpose == Purpose::kIndirectProbe) return true;
   if (reply.sender.name != request.subject) return false;
@@ -154,15 +158,16 @@
 
 void Membership::Handle(const Gossip& /*gossip*/, const Incoming& /*incoming*/) {}
 
-// ---- The timer ----
+// ---- Timer ----
 
 void Membership::Tick(TimePoint now) {
   if (now < next_tick_) return;
   budget_.Refill(now);
   table_.RefreshCaches();
-  // A late tick means that the local member was suspended: others shall not be blamed for the silence.
+  // A late tick means that the local member was suspended, so the lack of replies is no fault of other
+  // members.
   const Duration late = now - next_tick_;
-  if (late > context_.TickInterval() && context_.Defends(DisabledDefense::kLocalHealth)) {
+  if (late > context_.TickInterval() && context_.HasDefense(DisabledDefense::kLocalHealth)) {
     requests_.Postpone(late);
     detector_.Postpone(late);
   }
@@ -170,7 +175,8 @@
     merger_.Expire(now);
     table_.RefreshCaches();
     if (table_.detects_failures()) {
-      if (context_.Defends(DisabledDefense::kReconnect) || table_.Live().empty()) ContactUnoccupiedPeer(now);
+      if (context_.HasDefense(DisabledDefense::kReconnect) || table_.Live().empty())
+        ContactUnoccupiedPeer(now);
       detector_.StartPeriod(now);
     }
   }
@@ -184,7 +190,7 @@
 void Membership::Disseminate(TimePoint now) {
   const bool detects = table_.detects_failures();
   if (detects && sync_.IsSyncing(now)) {
-    // Gossip rides on exchanges, too.
+    // Gossip is piggybacked on exchanges, too.
     for (const MemberRecord* member : table_.Sample(kSyncsPerTick)) {
       requests_.Ping(Purpose::kSync, *member, now);
     }
@@ -195,13 +201,14 @@
       sender_.Send(member->peer, Priority::kGossip, draft);
     }
   }
-  // While no other member is known, unoccupied addresses are contacted each tick.
+  // While no other live member is known, an unoccupied address is contacted in each tick.
   if (detects && table_.Live().empty() && tick_ != 0) ContactUnoccupiedPeer(now);
 }
 
-// The probability is such that all members together contact each address kContactsPerPeriod times a period.
+// Contacts a random unoccupied address with such a probability that all members together contact each address
+// kContactsPerPeriod times in a period.
 void Membership::ContactUnoccupiedPeer(TimePoint now) {
-  const std::vector<PeerId>& peers = unoccupied_.Get();
+  const std::vector<PeerId>& peers = unoccupied_.Addresses();
   if (peers.empty()) return;
   if (context_.RandomBelow(table_.Live().size() + 1) >= kContactsPerPeriod * peers.size()) return;
   requests_.Contact(peers[context_.RandomBelow(peers.size())], nullptr, now);
@@ -213,7 +220,7 @@
   const bool is_idle = gossip_.empty() && detector_.IsIdle() && !sync_.IsSyncing(now) &&
                        !table_.Live().empty() && !requests_.IsRelaying();
   if (!is_idle || tick_ == 0) return;
-  // Nothing to do before the next period.
+  // An idle member skips the ticks until the next period.
   next_tick_ = now + (kTicksPerPeriod - tick_ + 1) * context_.TickInterval();
   tick_ = 0;
 }
--- a/src/membership/messages.h
+++ b/src/membership/messages.h
@@ -1,4 +1,4 @@
-// The messages that members exchange, one type each. Their wire form is in wire.h.
+// The messages that members exchange, with one type for each. wire.h defines their wire format.
 #ifndef POSTSPREAD_MEMBERSHIP_MESSAGES_H_
 #define POSTSPREAD_MEMBERSHIP_MESSAGES_H_
 
@@ -13,11 +13,11 @@
 namespace postspread::membership {
 
 enum class EntryKind : std::uint8_t {
-  kSync,    // brings a differing view up to date; the receiver need not pass it on
-  kGossip,  // a recent update, which the receiver passes on
+  kSync,    // The entry repairs a differing view; the receiver need not disseminate it.
+  kGossip,  // The entry is a recent update, which the receiver disseminates.
 };
 
-// An update about one member.
+// An update about one member, together with its name and address.
 struct Entry {
   std::string name;
   PeerId peer = 0;
@@ -26,38 +26,41 @@
   bool operator==(const Entry&) const = default;
 };
 
-// A health check, answered by an Ack.
+// A health check. The receiver replies with an Ack.
 struct Ping {};
 
-// Push-pull synchronization. Answered by an Ack that holds entries from `from` on, in the order of
-// DigestName, of buckets whose hashes differ from these. Its loss has no consequence.
+// A push-pull synchronization. The receiver replies with an Ack that holds entries of the buckets whose
+// hashes differ from these, in the order of DigestName from `from` on. A lost Exchange does no harm.
 struct Exchange {
   SyncPosition from = 0;
   BucketHashes buckets{};
 };
 
-// The answer to a Ping, an Exchange or, from the member that relayed it, a PingRequest.
+// The reply to a Ping or an Exchange. The member that relayed a PingRequest also replies with it.
 struct Ack {};
 
-// The answer to a PingRequest whose target did not reply to the relaying member either.
+// The reply to a PingRequest whose target did not reply to the relaying member either.
 struct Nack {};
 
-// An indirect probe: asks the receiver to ping `target` on the sender's behalf.
+// An indirect probe. It requests that the receiver ping `target` on the sender's behalf.
 struct PingRequest {
   Entry target;
 };
 
-// Carries entries only; not answered.
+// Gossip carries entries only and has no reply.
 struct Gossip {};
 
-// The order is that of the types' codes on the wire.
+// A type's position is its code on the wire, so the order must not change.
 using MessageBody = std::variant<Ping, Exchange, Ack, Nack, PingRequest, Gossip>;
 
 struct Message {
   MessageBody body{};
-  std::uint64_t number = 0;     // of the request that is made or answered; 0 in Gossip
-  std::uint32_t view_hash = 0;  // the lower half of the sender's
-  Entry sender{};               // its `peer` is ignored in favor of the datagram's source
+  // A request and its reply have the same number. It is 0 in Gossip.
+  std::uint64_t number = 0;
+  // The lower half of the hash of the sender's view.
+  std::uint32_t view_hash = 0;
+  // The receiver ignores `sender.peer` and uses the source address of the datagram.
+  Entry sender{};
   std::vector<Entry> entries{};
 };
 
--- a/src/membership/requests.cpp
+++ b/src/membership/requests.cpp
@@ -6,14 +6,16 @@
 namespace postspread::membership {
 namespace {
 
-constexpr int kExpiryPeriods = 2;
+constexpr int kRequestTimeoutPeriods = 2;
 constexpr std::size_t kMaxRelays = 64;
+// A member counts as isolated after this time and at least this many requests without a reply.
 constexpr int kIsolationPeriods = 2;
 constexpr int kIsolationRequests = 3;
 
 bool IsExchange(Purpose purpose) { return purpose == Purpose::kSync || purpose == Purpose::kContact; }
 
-// Nobody may be at the address, so the lack of a reply says nothing about the local member.
+// Returns whether the lack of a reply is a sign of a local fault. A contact or relay may target an unused
+// address.
 bool ExpectsReply(Purpose purpose) { return purpose != Purpose::kContact && purpose != Purpose::kRelay; }
 
 Priority PriorityOf(Purpose purpose) {
@@ -75,15 +77,15 @@
 }
 
 void Requests::ProbeIndirectly(const MemberRecord& member, std::size_t count, TimePoint now) {
-  if (!context_.Defends(DisabledDefense::kIndirectProbes)) return;
+  if (!context_.HasDefense(DisabledDefense::kIndirectProbes)) return;
   const Entry target{member.name, member.peer, member.update, EntryKind::kSync};
   const Priority priority = member.suspicion.active ? Priority::kConfirmation : Priority::kProbe;
-  for (const MemberRecord* helper : table_.Sample(count, member.name)) {
-    if (!sender_.Send(helper->peer, priority, {.body = PingRequest{target}, .number = next_number_})) return;
+  for (const MemberRecord* relay : table_.Sample(count, member.name)) {
+    if (!sender_.Send(relay->peer, priority, {.body = PingRequest{target}, .number = next_number_})) return;
     pending_.emplace(next_number_, Request{.number = next_number_,
                                            .purpose = Purpose::kIndirectProbe,
                                            .subject = member.name,
-                                           .to = helper->peer,
+                                           .to = relay->peer,
                                            .sent_at = now});
     ++next_number_;
     ++unanswered_;
@@ -108,7 +110,7 @@
   for (auto at = pending_.begin(); at != pending_.end();) {
     const Request& request = at->second;
     const bool is_relay = request.purpose == Purpose::kRelay;
-    const Duration timeout = is_relay ? context_.TickInterval() : kExpiryPeriods * context_.Period();
+    const Duration timeout = is_relay ? context_.TickInterval() : kRequestTimeoutPeriods * context_.Period();
     if (now - request.sent_at < timeout) {
       ++at;
       continue;
--- a/src/membership/requests.h
+++ b/src/membership/requests.h
@@ -1,5 +1,5 @@
-// Requests to other members that await a reply, and what their replies, or the lack of any, say of the local
-// member's own connectivity.
+// Requests tracks the requests to other members that await a reply. From the replies, or the lack of any, it
+// derives whether the local member itself is isolated. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_REQUESTS_H_
 #define POSTSPREAD_MEMBERSHIP_REQUESTS_H_
 
@@ -18,15 +18,15 @@
 namespace postspread::membership {
 
 enum class Purpose : std::uint8_t {
-  kProbe,          // this period's health check
-  kConfirmation,   // a health check of a suspect
-  kIndirectProbe,  // a PingRequest
-  kContact,        // whoever may be at an address
-  kSync,           // an exchange because views differ
-  kRelay,          // a health check on behalf of another member
+  kProbe,          // A health check of the period's target.
+  kConfirmation,   // A health check of a suspect.
+  kIndirectProbe,  // A PingRequest to another member.
+  kContact,        // An Exchange with any member that may be at an address.
+  kSync,           // An Exchange because views differ.
+  kRelay,          // A health check on behalf of another member.
 };
 
-// Where a relayed PingRequest came from.
+// The sender of a PingRequest that is relayed, and its request number.
 struct RelayOrigin {
   PeerId peer = 0;
   std::uint64_t number = 0;
@@ -35,35 +35,37 @@
 struct Request {
   std::uint64_t number = 0;
   Purpose purpose = Purpose::kProbe;
-  std::string subject{};  // name of the member that is probed; empty: unknown
+  std::string subject{};  // The name of the probed member is empty if it is unknown.
   PeerId to = 0;
   TimePoint sent_at{0};
-  RelayOrigin origin{};  // kRelay
+  RelayOrigin origin{};  // It is set for kRelay only.
 };
 
 class Requests {
  public:
   Requests(Context& context, MemberTable& table, ViewSync& sync, DatagramSender& sender, TimePoint now);
 
-  // Sends a Ping, or an Exchange for kContact and kSync. `subject`: the member that is expected to reply.
-  // False: not sent.
+  // Sends `subject`, the member that should reply, a Ping, or an Exchange for kContact and kSync. Returns
+  // whether it was sent.
   bool Ping(Purpose purpose, const MemberRecord& subject, TimePoint now);
-  // To an address at which no live member is known, telling it about `subject` if that is not nullptr.
+  // Sends an Exchange to an address at which no live member is known. It holds the entry of `subject`, if not
+  // nullptr.
   void Contact(PeerId to, const MemberRecord* subject, TimePoint now);
-  // Asks up to `count` random members to ping this one: the path between it and the local member may be what
-  // is broken.
+  // Requests that up to `count` random members ping this one, since only the path between it and the local
+  // member may be at fault.
   void ProbeIndirectly(const MemberRecord& member, std::size_t count, TimePoint now);
-  // Carries out a PingRequest.
+  // Pings the target of a PingRequest on behalf of its origin.
   void Relay(const Entry& target, const RelayOrigin& origin, TimePoint now);
 
-  // Takes the request that this reply answers; nothing: it answers none, and is counted as such.
+  // Removes and returns the request to which this reply belongs. A reply without a request is counted.
   std::optional<Request> Match(std::uint64_t number, PeerId from, TimePoint now);
-  // Drops requests that were not answered, with a Nack for each that was relayed.
+  // Drops requests whose timeout has elapsed, and sends a Nack to the origin of each relayed one.
   void Expire(TimePoint now);
-  // The local member was not running for `late`: deadlines are moved by as much.
+  // Moves all deadlines by `late`, for which the local member was not running.
   void Postpone(Duration late);
 
-  // No request has been answered of late: the fault is more likely this member's than all others'.
+  // Returns whether several requests in a row have had no reply for some periods. Then the fault is more
+  // likely the local member's than that of all others.
   [[nodiscard]] bool IsIsolated(TimePoint now) const;
   [[nodiscard]] bool IsRelaying() const { return Relays() > 0; }
 
@@ -75,10 +77,10 @@
   MemberTable& table_;
   ViewSync& sync_;
   DatagramSender& sender_;
-  std::map<std::uint64_t, Request> pending_;  // by number
+  std::map<std::uint64_t, Request> pending_;  // The key is the request's number.
   std::uint64_t next_number_;
   TimePoint last_reply_at_;
-  int unanswered_ = 0;  // requests since then
+  int unanswered_ = 0;  // This many requests were sent since the last reply.
 };
 
 }  // namespace postspread::membership
--- a/src/membership/send_budget.cpp
+++ b/src/membership/send_budget.cpp
@@ -5,7 +5,7 @@
 namespace postspread::membership {
 namespace {
 
-// What must be left for more urgent datagrams, as a fraction of a second's budget; by Priority.
+// For each Priority, the fraction of a second's budget that is reserved for more urgent datagrams.
 constexpr double kReserve[] = {0, 0.15, 0.3, 0.5};
 
 }  // namespace
@@ -22,7 +22,7 @@
 }
 
 bool SendBudget::TryConsume(Priority priority) {
-  if (!context_.Defends(DisabledDefense::kBudget)) return true;
+  if (!context_.HasDefense(DisabledDefense::kBudget)) return true;
   const double reserve = kReserve[static_cast<std::size_t>(priority)] * context_.limits.datagrams_per_second;
   if (tokens_ < 1 + reserve) {
     ++context_.counts.throttled;
--- a/src/membership/send_budget.h
+++ b/src/membership/send_budget.h
@@ -1,4 +1,5 @@
-// A token bucket over all datagrams of the membership view, with a reserve for what is more urgent.
+// SendBudget is a token bucket that bounds the rate of all membership datagrams and reserves a part of it for
+// more urgent ones. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_SEND_BUDGET_H_
 #define POSTSPREAD_MEMBERSHIP_SEND_BUDGET_H_
 
@@ -9,7 +10,7 @@
 
 namespace postspread::membership {
 
-// The most urgent first.
+// The priorities of datagrams, most urgent first.
 enum class Priority : std::uint8_t { kProbe, kReply, kConfirmation, kGossip };
 
 class SendBudget {
@@ -17,12 +18,12 @@
   SendBudget(Context& context, TimePoint now);
 
   void Refill(TimePoint now);
-  // False: there is no budget left for this priority, and the datagram is counted as held back.
+  // Takes a token. Returns false, and counts the datagram as throttled, if none is left for this priority.
   bool TryConsume(Priority priority);
 
  private:
   Context& context_;
-  double tokens_;  // datagrams
+  double tokens_;  // A token permits one datagram.
   TimePoint refilled_at_;
 };
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,4 +1,4 @@
-// Value types of the membership view: what callers configure, read and are notified of.
+// Value types of the membership view: its configuration, its snapshots and the changes that it reports.
 #ifndef POSTSPREAD_MEMBERSHIP_TYPES_H_
 #define POSTSPREAD_MEMBERSHIP_TYPES_H_
 
@@ -14,18 +14,18 @@
 namespace postspread::membership {
 
 using Duration = std::chrono::microseconds;
-using TimePoint = std::chrono::microseconds;  // since the Unix epoch
+using TimePoint = std::chrono::microseconds;  // counted from the Unix epoch
 
-// The address of a member: a rank in the configuration's `peers`, or an IPv4 address and port in 48 bits. The
-// owner of the socket knows which; this library compares ids and hands them back.
+// A PeerId is the address of a member: a rank in the configuration's `peers`, or an IPv4 address and port in
+// 48 bits. Only the owner of the socket interprets it; this library compares ids and returns them unchanged.
 using PeerId = std::uint64_t;
 
 inline constexpr std::size_t kMaxMembers = 1'000;
-inline constexpr std::size_t kMaxName = 31;  // bytes
-inline constexpr std::size_t kMaxDatagram = 1'400;
-inline constexpr std::size_t kLeastDatagram = 128;
+inline constexpr std::size_t kMaxName = 31;         // bytes
+inline constexpr std::size_t kMaxDatagram = 1'400;  // bytes
+inline constexpr std::size_t kLeastDatagram = 128;  // bytes
 
-// kSuspect is a member's local judgement and is never sent.
+// kSuspect is local to the member that raised the suspicion and is never sent.
 enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 inline constexpr std::size_t kStates = 4;
 
@@ -34,42 +34,46 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 
-// A suspect counts as live until a member has confirmed its death.
+// Returns whether the member counts as live. A suspect does until a member has confirmed its death.
 constexpr bool IsLive(State state) { return state <= State::kSuspect; }
 
-// What is known of a member's liveness. Two updates about one member merge to the greater one. The merge is
+// A statement about a member's liveness. Two updates about one member merge to the greater one. The merge is
 // commutative, associative and idempotent, so updates may be lost, duplicated, delayed and reordered.
 struct MemberUpdate {
-  std::uint64_t incarnation = 0;  // milliseconds of the Unix epoch when its process started
-  std::uint32_t refutations = 0;  // how often it has refuted its death in this incarnation
-  State state = State::kAlive;    // never kSuspect in an update that is sent
+  // The start time of the member's process, in milliseconds since the Unix epoch.
+  std::uint64_t incarnation = 0;
+  // The member increments this each time it refutes its own death in this incarnation, and when it leaves.
+  std::uint32_t refutations = 0;
+  State state = State::kAlive;  // An update that is sent never holds kSuspect.
   auto operator<=>(const MemberUpdate&) const =
       default;  // NOLINT(modernize-use-nullptr): taken for a comparison with 0
 };
 
+// Returns the update that takes precedence: the greater one.
 constexpr MemberUpdate Merge(const MemberUpdate& a, const MemberUpdate& b) { return std::max(a, b); }
 
 struct Member {
   std::string name;
   PeerId peer = 0;
   MemberUpdate update;
-  TimePoint since{0};  // when its state or incarnation last changed in this view
+  TimePoint since{0};  // The member's state or incarnation last changed in this view at this time.
 };
 
-// A snapshot. Two views have the same `hash` exactly where their sets of live members and the incarnations of
-// these are equal.
+// A snapshot of the membership. Two views have the same `hash` exactly if they hold the same live members in
+// the same incarnations.
 struct View {
-  std::uint64_t epoch = 0;  // grows with each change of that set
+  std::uint64_t epoch = 0;  // It grows with each change of the live members or their incarnations.
   std::uint64_t hash = 0;
-  std::vector<Member> members;  // by name, the local one included; dead and left ones until they expire
+  // All members sorted by name, including the local one. Those that died or left stay until they expire.
+  std::vector<Member> members;
 };
 
-// The local member.
+// The identity of the local member.
 struct Self {
   std::string name;  // 1 to kMaxName bytes
   PeerId peer = 0;
   std::uint64_t incarnation = 0;
-  // A later process may take over this one's address, as in an upgrade.
+  // This is true if a successor process may take over the address, as in an upgrade.
   bool may_be_succeeded = false;
 };
 
@@ -78,21 +82,27 @@
   std::string bytes;
 };
 
-// The operator file's block `fleet`.
+// The settings of the operator file's block `fleet`.
 struct Limits {
   bool enabled = false;
-  std::string name = "fleet";      // of the group: datagrams of any other are dropped
-  std::vector<std::string> seeds;  // addresses; empty: the configuration's `peers`
-  std::string listen;              // empty: the configuration's `peer_listen`
-  std::size_t datagram = 256;      // bytes
+  // The group's name. Datagrams of any other group are dropped.
+  std::string name = "fleet";
+  // Addresses of members to join through. If empty, the configuration's `peers` are used.
+  std::vector<std::string> seeds;
+  // The local address. If empty, the configuration's `peer_listen` is used.
+  std::string listen;
+  std::size_t datagram = 256;  // maximum size in bytes
   double datagrams_per_second = 20;
-  std::chrono::milliseconds period{1'000};     // one probe a protocol period
-  std::chrono::milliseconds suspicion{3'000};  // from suspicion to death
-  std::chrono::milliseconds forget{600'000};   // from death or leave to removal
+  // The protocol period, in which each member sends one probe.
+  std::chrono::milliseconds period{1'000};
+  // The minimum time between the suspicion of a member and the declaration of its death.
+  std::chrono::milliseconds suspicion{3'000};
+  // The time between the death or leave of a member and its removal from the view.
+  std::chrono::milliseconds forget{600'000};
   bool operator==(const Limits&) const = default;
 };
 
-// Lets a test disable one defense to show that the test detects its absence. Not for production.
+// A test disables one defense to show that the test detects its absence. Production use must disable none.
 enum class DisabledDefense {
   kNothing,
   kRefutation,
@@ -111,28 +121,29 @@
   std::uint64_t incarnation = 0;
   State from = State::kLeft;
   State to = State::kAlive;
-  bool is_new = false;   // unknown before, or in another incarnation
-  bool by_self = false;  // detected by the local member rather than learned by gossip
+  bool is_new = false;   // The member was unknown before, or known in another incarnation.
+  bool by_self = false;  // The local member detected the change rather than learned it by gossip.
 };
 
 struct Counts {
   std::uint64_t sent = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t received = 0;
-  std::uint64_t suspicions_raised = 0;   // by the local member ...
-  std::uint64_t suspicions_refuted = 0;  // ... and refuted by an answer of the suspect
-  std::uint64_t own_refutations = 0;     // of updates about the local member
-  std::uint64_t deaths_declared = 0;     // by the local member
+  // The local member raised these suspicions; the suspect refuted some of them by a reply.
+  std::uint64_t suspicions_raised = 0;
+  std::uint64_t suspicions_refuted = 0;
+  std::uint64_t own_refutations = 0;  // The local member refuted these updates about itself.
+  std::uint64_t deaths_declared = 0;  // The local member declared these deaths.
   std::uint64_t view_changes = 0;
-  std::uint64_t name_conflicts = 0;  // signs of another process under a live member's name
-  // Dropped, by cause.
+  std::uint64_t name_conflicts = 0;  // Each is a sign of a second process under a live member's name.
+  // The following count dropped datagrams or updates, by cause.
   std::uint64_t unreadable = 0;
-  std::uint64_t foreign = 0;             // of another group
-  std::uint64_t future = 0;              // of a later version, or an incarnation in the future
-  std::uint64_t former_incarnation = 0;  // from a process that has been replaced
-  std::uint64_t unasked = 0;             // a reply to no pending request
-  std::uint64_t over_capacity = 0;       // a member beyond kMaxMembers
-  std::uint64_t throttled = 0;           // not sent for want of budget
+  std::uint64_t foreign = 0;             // The datagram belongs to another group.
+  std::uint64_t future = 0;              // It has a later version, or an incarnation in the future.
+  std::uint64_t former_incarnation = 0;  // Its sender is a process that has been replaced.
+  std::uint64_t unasked = 0;             // It is a reply to no pending request.
+  std::uint64_t over_capacity = 0;       // The update is about a new member beyond kMaxMembers.
+  std::uint64_t throttled = 0;           // The datagram was not sent because the budget was exhausted.
 };
 
 }  // namespace postspread::membership
--- a/src/membership/unoccupied_peers.cpp
+++ b/src/membership/unoccupied_peers.cpp
@@ -10,12 +10,12 @@
 UnoccupiedPeers::UnoccupiedPeers(const MemberTable& table, std::vector<PeerId> seeds)
     : table_(table), seeds_(std::move(seeds)) {}
 
-void UnoccupiedPeers::Remember(PeerId peer) {
+void UnoccupiedPeers::AddFormer(PeerId peer) {
   if (former_.size() >= kMaxMembers) former_.pop_front();
   former_.push_back(peer);
 }
 
-const std::vector<PeerId>& UnoccupiedPeers::Get() {
+const std::vector<PeerId>& UnoccupiedPeers::Addresses() {
   if (cached_generation_ == table_.generation()) return cached_;
   cached_generation_ = table_.generation();
   std::set<PeerId> occupied{table_.self().peer};
--- a/src/membership/unoccupied_peers.h
+++ b/src/membership/unoccupied_peers.h
@@ -1,5 +1,6 @@
-// Addresses at which no live member is known: of seeds, of dead members and of dead ones that have been
-// removed. They are contacted for ever, since a partition may heal after any time.
+// UnoccupiedPeers lists the addresses at which no live member is known: those of seeds, of dead members and
+// of dead members that have been removed. They are contacted forever, since a partition may heal after any
+// time. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_UNOCCUPIED_PEERS_H_
 #define POSTSPREAD_MEMBERSHIP_UNOCCUPIED_PEERS_H_
 
@@ -17,18 +18,20 @@
  public:
   UnoccupiedPeers(const MemberTable& table, std::vector<PeerId> seeds);
 
-  // A dead member is removed from the table: its address stays. Of kMaxMembers addresses the latest ones do.
-  void Remember(PeerId peer);
+  // Adds the address of a dead member that is removed from the table. The latest kMaxMembers addresses are
+  // retained.
+  void AddFormer(PeerId peer);
 
-  // In ascending order.
-  const std::vector<PeerId>& Get();
+  // Returns the addresses in ascending order.
+  const std::vector<PeerId>& Addresses();
 
  private:
   const MemberTable& table_;
   std::vector<PeerId> seeds_;
   std::deque<PeerId> former_;
   std::vector<PeerId> cached_;
-  std::optional<std::uint64_t> cached_generation_;  // of the table
+  // The table had this generation when cached_ was computed.
+  std::optional<std::uint64_t> cached_generation_;
 };
 
 }  // namespace postspread::membership
--- a/src/membership/update_merger.cpp
+++ b/src/membership/update_merger.cpp
@@ -12,9 +12,11 @@
 using std::chrono::milliseconds;
 
 constexpr int kMaxFlaps = 5;
-constexpr int kFlapDecayPeriods = 60;                      // after which one flap is forgiven
-constexpr std::chrono::hours kMaxClockSkew{24};            // within a group
-constexpr std::uint32_t kMaxRefutations = (1U << 30) - 1;  // in one incarnation
+constexpr int kFlapDecayPeriods = 60;  // The count of flaps falls by one in this time.
+// The clocks of a group's members differ by at most this.
+constexpr std::chrono::hours kMaxClockSkew{24};
+// Beyond this many refutations a member goes on with the next incarnation.
+constexpr std::uint32_t kMaxRefutations = (1U << 30) - 1;
 
 }  // namespace
 
@@ -48,7 +50,8 @@
   }
 }
 
-// A later incarnation wins over all earlier ones, so a wrong one would hold the name for ever.
+// Returns whether the incarnation is later than any correct clock can have produced. A later incarnation
+// takes precedence over all earlier ones, so such an incarnation would occupy the name forever.
 bool UpdateMerger::IsInFuture(const MemberUpdate& update, TimePoint now) const {
   return milliseconds(update.incarnation) > std::chrono::duration_cast<milliseconds>(now) + kMaxClockSkew;
 }
@@ -58,7 +61,7 @@
 }
 
 void UpdateMerger::ApplyToNew(const Entry& entry, PeerId peer, TimePoint now) {
-  if (!EvictRemovedMember()) {
+  if (!EnsureCapacity()) {
     ++context_.counts.over_capacity;
     return;
   }
@@ -69,7 +72,7 @@
                                 TimePoint now) {
   const MemberUpdate& known = record.update;
   MemberUpdate update = entry.update;
-  if (!context_.Defends(DisabledDefense::kIncarnations)) update.incarnation = known.incarnation;
+  if (!context_.HasDefense(DisabledDefense::kIncarnations)) update.incarnation = known.incarnation;
   const bool is_former = update.incarnation < known.incarnation;
   if (sent_from && is_former && *sent_from != record.peer && IsLive(known.state)) {
     ++context_.counts.name_conflicts;
@@ -84,19 +87,20 @@
   if (table_.has_left()) return;
   const MemberUpdate& own = table_.self().update;
   if (entry.update.incarnation > own.incarnation) {
-    OnLaterSelf(entry, now);
+    OnLaterIncarnationOfSelf(entry, now);
   } else if (entry.update.incarnation == own.incarnation && own < entry.update &&
-             context_.Defends(DisabledDefense::kRefutation)) {
+             context_.HasDefense(DisabledDefense::kRefutation)) {
     Refute(entry.update);
   }
 }
 
-// A process of this name was started later, or a clock that was ahead when an earlier one started.
-void UpdateMerger::OnLaterSelf(const Entry& entry, TimePoint now) {
+// Handles a later incarnation under the local member's name. Either another process was started later, or an
+// earlier one was started on a clock that was ahead.
+void UpdateMerger::OnLaterIncarnationOfSelf(const Entry& entry, TimePoint now) {
   const MemberRecord& self = table_.self();
   if (entry.peer != self.peer) {
     ++context_.counts.name_conflicts;
-    events_.Log("another process is named \"" + self.name + "\", as this one is, and was started later", now);
+    events_.Log("another process is named \"" + self.name + "\", like this one, and was started later", now);
     return;
   }
   if (IsInFuture(entry.update, now)) {
@@ -108,7 +112,7 @@
     table_.SetSuperseded();
     return;
   }
-  // No other process can be at this address: an earlier one on a clock that was ahead has left the entry.
+  // No other process can be at this address, so an earlier one on a clock that was ahead has left the entry.
   ++context_.counts.own_refutations;
   AnnounceSelf({entry.update.incarnation + 1, 0, State::kAlive});
 }
@@ -174,7 +178,7 @@
   table_.OnUpdated(record, hash_before);
 }
 
-bool UpdateMerger::EvictRemovedMember() {
+bool UpdateMerger::EnsureCapacity() {
   if (!table_.IsFull()) return true;
   MemberRecord* oldest = table_.OldestDeparted();
   if (oldest == nullptr) return false;
@@ -184,8 +188,8 @@
 
 void UpdateMerger::Remove(MemberRecord& record) {
   gossip_.Remove(record);
-  // One that left does not come back to its address by itself; the far side of a partition may.
-  if (record.update.state == State::kDead) peers_.Remember(record.peer);
+  // A member that left does not return by itself, but a member that seems dead may be behind a partition.
+  if (record.update.state == State::kDead) peers_.AddFormer(record.peer);
   table_.Erase(record);
 }
 
--- a/src/membership/update_merger.h
+++ b/src/membership/update_merger.h
@@ -1,5 +1,5 @@
-// Merges updates into the member table: what others gossip about members, about the local one included, and
-// what the local member has detected itself.
+// UpdateMerger merges updates into the member table: those that other members send, also about the local
+// member, and those that the local member detects itself. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_UPDATE_MERGER_H_
 #define POSTSPREAD_MEMBERSHIP_UPDATE_MERGER_H_
 
@@ -24,17 +24,17 @@
   UpdateMerger(Context& context, MemberTable& table, GossipQueue& gossip, UnoccupiedPeers& peers,
                LocalHealth& health, EventLog& events, Succession succession);
 
-  // Merges an entry. `sent_from`: the address it came from, if the member itself sent it.
+  // Merges an entry. `sent_from` is the source address of the datagram if the entry's member itself sent it.
   void Apply(const Entry& entry, std::optional<PeerId> sent_from, TimePoint now);
-  // The local member has confirmed that this one is dead.
+  // Records that the local member has confirmed this member's death.
   void DeclareDead(MemberRecord& record, TimePoint now);
   // Announces that the local member leaves.
   void Leave(TimePoint now);
-  // Removes members that have been dead or left for long enough, and lets flaps decay.
+  // Removes members that died or left longer ago than Limits::forget, and decays the counts of flaps.
   void Expire(TimePoint now);
 
  private:
-  // How a member's update became known.
+  // The source of a member's update.
   enum class Origin : std::uint8_t { kGossip, kSync, kDetected };
 
   static Origin OriginOf(const Entry& entry);
@@ -42,11 +42,12 @@
   void ApplyToNew(const Entry& entry, PeerId peer, TimePoint now);
   void ApplyToKnown(MemberRecord& record, const Entry& entry, std::optional<PeerId> sent_from, TimePoint now);
   void ApplyToSelf(const Entry& entry, TimePoint now);
-  void OnLaterSelf(const Entry& entry, TimePoint now);
+  void OnLaterIncarnationOfSelf(const Entry& entry, TimePoint now);
   void Refute(const MemberUpdate& update);
   void AnnounceSelf(const MemberUpdate& update);
   void SetUpdate(MemberRecord& record, const MemberUpdate& update, Origin origin, TimePoint now);
-  bool EvictRemovedMember();
+  // Evicts a dead or left member if the table is full. Returns whether there is capacity for a new one.
+  bool EnsureCapacity();
   void Remove(MemberRecord& record);
 
   Context& context_;
--- a/src/membership/view_sync.cpp
+++ b/src/membership/view_sync.cpp
@@ -5,8 +5,10 @@
 namespace postspread::membership {
 namespace {
 
-constexpr int kSyncPeriods = 3;  // for which a difference counts as recent
-// Pairs of hashes: a lasting difference, as between versions, shall not cause exchanges for ever.
+// A difference counts as recent for this time.
+constexpr int kRecentDifferencePeriods = 3;
+// Known pairs of hashes are remembered so that a lasting difference, as between versions, does not cause
+// exchanges forever.
 constexpr std::size_t kMaxKnownDifferences = 8;
 
 }  // namespace
@@ -21,13 +23,13 @@
   if (known == known_differences_.end()) {
     if (known_differences_.size() >= kMaxKnownDifferences) known_differences_.pop_front();
     known_differences_.push_back(pair);
-    syncing_until_ = now + kSyncPeriods * context_.Period();
+    syncing_until_ = now + kRecentDifferencePeriods * context_.Period();
   }
   return true;
 }
 
 bool ViewSync::DifferedRecently(TimePoint now) const {
-  return differed_at_.count() != 0 && now - differed_at_ < kSyncPeriods * context_.Period();
+  return differed_at_.count() != 0 && now - differed_at_ < kRecentDifferencePeriods * context_.Period();
 }
 
 SyncPosition ViewSync::Fill(Writer& writer, const SyncRange& range) {
--- a/src/membership/view_sync.h
+++ b/src/membership/view_sync.h
@@ -1,5 +1,5 @@
-// Anti-entropy: finds out from the hashes in datagrams that views differ, and fills datagrams with entries
-// until they do not.
+// ViewSync does the anti-entropy between members: it detects by the hashes in datagrams that views differ,
+// and adds entries to datagrams until the views are equal. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_VIEW_SYNC_H_
 #define POSTSPREAD_MEMBERSHIP_VIEW_SYNC_H_
 
@@ -15,35 +15,36 @@
 
 namespace postspread::membership {
 
-// Entries to be added to a datagram: of all members from a position on, or of those in differing buckets.
+// The entries to add to a datagram: those of all members from a position on, or only of those in differing
+// buckets.
 struct SyncRange {
   SyncPosition from = 0;
-  const BucketHashes* remote_buckets = nullptr;  // nullptr: all
+  const BucketHashes* remote_buckets = nullptr;  // nullptr selects all members.
 };
 
 class ViewSync {
  public:
   ViewSync(const Context& context, MemberTable& table);
 
-  // A datagram has shown the lower half of its sender's hash. Returns whether the views differ.
+  // Handles the lower half of the hash of a datagram's sender. Returns whether the views differ.
   bool OnViewHash(std::uint32_t remote_hash, TimePoint now);
-  // A difference that was not met before has been seen of late: exchanges are worth their cost.
+  // Returns whether a new difference has been seen recently, so that exchanges are worth their cost.
   [[nodiscard]] bool IsSyncing(TimePoint now) const { return now < syncing_until_; }
-  // Some difference has been seen of late, be it an old one.
+  // Returns whether any difference, new or known, has been seen recently.
   [[nodiscard]] bool DifferedRecently(TimePoint now) const;
 
-  // Adds the latest changes and then the range's entries, going round at the end of the order. Returns the
-  // position of the first entry that did not fit.
+  // Adds the latest changes and then the range's entries, in a circular order. Returns the position of the
+  // first entry that did not fit.
   SyncPosition Fill(Writer& writer, const SyncRange& range);
 
-  // From where unsolicited entries are sent next.
+  // Returns the position from which unsolicited entries are sent next.
   [[nodiscard]] SyncPosition send_position() const { return send_position_; }
   void set_send_position(SyncPosition position) { send_position_ = position; }
 
-  // From where the exchange that request `number` makes wants entries. Exchanges take turns between two
-  // positions, so that two in flight do not fetch the same entries.
+  // Returns the position from which the Exchange with request number `number` requests entries. Exchanges
+  // alternate between two positions, so that two in flight do not fetch the same entries.
   [[nodiscard]] SyncPosition ReceivePosition(std::uint64_t number) const;
-  // Its reply ended with the entry of this member.
+  // Handles the reply to that Exchange, whose last entry is that of `last_name`.
   void OnExchanged(std::uint64_t number, std::string_view last_name);
 
  private:
@@ -57,7 +58,7 @@
   MemberTable& table_;
   std::deque<HashPair> known_differences_;
   TimePoint syncing_until_{0};
-  TimePoint differed_at_{0};  // 0: never
+  TimePoint differed_at_{0};  // It is 0 before the first difference.
   SyncPosition send_position_ = 0;
   std::array<SyncPosition, 2> receive_positions_{0, 0x8000};
 };
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -15,21 +15,22 @@
 constexpr std::size_t kVersionBytes = 1;
 constexpr std::size_t kGroupBytes = 4;
 constexpr std::size_t kChecksumBytes = 4;
-constexpr std::uint64_t kMaxVarint = (1ULL << 53) - 1;  // no field that is sent exceeds it
+constexpr std::uint64_t kMaxVarint = (1ULL << 53) - 1;  // No member sends a greater value.
 constexpr int kMaxVarintBits = 56;                      // eight bytes of seven bits
 constexpr std::uint32_t kMaxRefutations = 1U << 30;
 
-// The first byte of an entry: kind in bit 7, state in bits 5 and 6, length of the name below.
+// The first byte of an entry holds the kind in bit 7, the state in bits 5 and 6, and the length of the name
+// below.
 constexpr unsigned kGossipBit = 0x80;
 constexpr unsigned kStateShift = 5;
 constexpr unsigned kStateMask = 3;
-constexpr unsigned kNameMask = 0x1f;
+constexpr unsigned kNameSizeMask = 0x1f;
 
 enum class MessageType : unsigned char { kPing, kExchange, kAck, kNack, kPingRequest, kGossip };
 template <MessageType type, typename Body>
 constexpr bool kIsCodeOf =
     std::is_same_v<std::variant_alternative_t<static_cast<std::size_t>(type), MessageBody>, Body>;
-// The writer takes a type's code from its position in the variant.
+// The writer uses a type's position in the variant as its code.
 static_assert(kIsCodeOf<MessageType::kPing, Ping> && kIsCodeOf<MessageType::kExchange, Exchange> &&
               kIsCodeOf<MessageType::kAck, Ack> && kIsCodeOf<MessageType::kNack, Nack> &&
               kIsCodeOf<MessageType::kPingRequest, PingRequest> && kIsCodeOf<MessageType::kGossip, Gossip>);
@@ -64,7 +65,7 @@
   PutEntry(entry.name, entry.peer, entry.update, entry.kind, out);
 }
 
-// The fields that only messages of one type have.
+// Encodes the fields that are specific to one type of message.
 struct PutBody {
   std::string& out;
 
@@ -79,13 +80,13 @@
   void operator()(const Gossip&) const {}
 };
 
-// Decodes fields in turn. After the first invalid one it is not sound and returns zeros.
+// Decodes fields in sequence. After the first invalid one valid() is false and all reads return zeros.
 class Scanner {
  public:
   explicit Scanner(std::string_view bytes) : rest_(bytes) {}
 
   [[nodiscard]] bool empty() const { return rest_.empty(); }
-  [[nodiscard]] bool sound() const { return sound_; }
+  [[nodiscard]] bool valid() const { return valid_; }
 
   std::string_view ReadBytes(std::size_t size) {
     if (rest_.size() < size) {
@@ -132,7 +133,7 @@
     const unsigned head = Read8();
     out.update.state = static_cast<State>(head >> kStateShift & kStateMask);
     out.kind = (head & kGossipBit) != 0 ? EntryKind::kGossip : EntryKind::kSync;
-    const std::size_t name_size = head & kNameMask;
+    const std::size_t name_size = head & kNameSizeMask;
     if (name_size == 0 || out.update.state == State::kSuspect) Reject();
     out.name = ReadBytes(name_size);
     out.peer = ReadVarint();
@@ -175,12 +176,12 @@
   }
 
   void Reject() {
-    sound_ = false;
+    valid_ = false;
     rest_ = {};
   }
 
   std::string_view rest_;
-  bool sound_ = true;
+  bool valid_ = true;
 };
 
 }  // namespace
@@ -228,8 +229,8 @@
   out.sender = in.ReadEntry();
   in.ReadBody(type, out.body);
   out.entries.clear();
-  while (in.sound() && !in.empty()) out.entries.push_back(in.ReadEntry());
-  return in.sound() ? ReadError::kNone : ReadError::kUnreadable;
+  while (in.valid() && !in.empty()) out.entries.push_back(in.ReadEntry());
+  return in.valid() ? ReadError::kNone : ReadError::kUnreadable;
 }
 
 }  // namespace postspread::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -1,12 +1,12 @@
-// The wire form of messages, one a datagram:
+// The wire format of messages, one in each datagram:
 //
 //   "PSV" | version u8 | group u32 | type u8 | number varint | view hash u32 | sender's entry |
 //   (Exchange: from varint, bucket hashes u16 each) | (PingRequest: target's entry) | entries ... |
 //   checksum u32
 //
-// An entry is (kind, state and length of name) u8, name, peer varint, incarnation varint, refutations varint.
-// Integers are little-endian. Nothing is decoded before checksum, group and version have been verified;
-// excess or missing bytes make the whole datagram unreadable.
+// An entry consists of (kind, state and length of name) u8, name, peer varint, incarnation varint,
+// refutations varint. Integers are little-endian. Nothing is decoded before the checksum, group and version
+// have been verified; excess or missing bytes make the whole datagram unreadable.
 #ifndef POSTSPREAD_MEMBERSHIP_WIRE_H_
 #define POSTSPREAD_MEMBERSHIP_WIRE_H_
 
@@ -20,10 +20,10 @@
 
 namespace postspread::membership {
 
-// Encodes a message, whose entries are added one by one for as long as they fit.
+// Encodes a message. The caller adds entries one by one while they fit.
 class Writer {
  public:
-  // A datagram of `size` bytes at most. `head.entries` is ignored: entries are added by Add.
+  // The datagram has at most `size` bytes. `head.entries` is ignored, since Add adds entries.
   Writer(std::uint32_t group, const Message& head, std::size_t size);
 
   // Returns false, and adds nothing, if the entry does not fit.
@@ -40,8 +40,8 @@
 
 enum class ReadError {
   kNone,
-  kOtherSubsystem,  // not a datagram of the membership view
-  kUnreadable,      // truncated, corrupt, or with a value that no member of this version sends
+  kOtherSubsystem,  // The datagram does not belong to the membership protocol.
+  kUnreadable,      // It is truncated or corrupt, or has a value that no member of this version sends.
   kForeignGroup,
   kLaterVersion,
 };
