--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -99,7 +99,8 @@
 }
 
 TEST_CASE(
-    "when reconfigurations replace a class, its slot is reused; when they rename a plan, the plans stay") {
+    "when reconfigurations replace a class, its slot is reused, and when they rename a plan, the plans "
+    "stay") {
   PlannerFixture fixture;
   Settings next = TestSettings();
   next.classes.push_back(next.classes[0]);
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -58,7 +58,8 @@
 }
 
 TEST_CASE(
-    "when a removed upstream is listed again with the same start, its estimate stays; a new start changes "
+    "when a removed upstream is listed again with the same start, its estimate stays, and a new start "
+    "changes "
     "it") {
   StartTimes starts;
   const microseconds first = Estimate(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow);
--- a/tests/planner/subsystems_test.cpp
+++ b/tests/planner/subsystems_test.cpp
@@ -145,7 +145,7 @@
 };
 
 TEST_CASE(
-    "when a gateway leaves, it is no replica of new keys; when it has rejoined, it is a replica again") {
+    "when a gateway leaves, it is no replica of new keys, and when it has rejoined, it is a replica again") {
   TwoGateways gateways;
   gateways.RunThreeSeconds();
   CHECK_FALSE(gateways.StartsAtOnce("k1"));
@@ -178,7 +178,7 @@
   return used;
 }
 
-TEST_CASE("given subsetting, a gateway uses a few upstreams; when these drain, it uses others at once") {
+TEST_CASE("given subsetting, a gateway uses a few upstreams, and others as soon as these drain") {
   Settings settings = TestSettings();
   settings.group_size = 100;
   PlannerOptions options;
