--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,5 +1,5 @@
-// The Controller: dispatch of events, and the ttl of a request from its arrival over its attempts to its
-// final answer. What is decided on the way is in the other files of src/policy/.
+// The Controller dispatches events and drives a request from its arrival over its attempts to its final
+// response. The other files of src/policy/ make the individual decisions.
 #include <algorithm>
 #include <memory>
 #include <utility>
@@ -23,9 +23,10 @@
 using namespace policy;
 
 constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(100);
-constexpr Duration kSelectAgainDelay = std::chrono::milliseconds(20);  // while no server is available
+// The time between two selections for a request while no upstream is available.
+constexpr Duration kSelectAgainDelay = std::chrono::milliseconds(20);
 constexpr Duration kResubscribeDelay = std::chrono::seconds(1);
-constexpr double kRetryAfterJitter = 1;  // clients rejected together must not return together
+constexpr double kRetryAfterJitter = 1;  // clients that are rejected together must not retry together
 
 }  // namespace
 
@@ -46,8 +47,8 @@
   void OnEvent(const ClientDisconnectedEvent& event);
   void OnEvent(const TimerEvent& event);
   void OnEvent(const CounterEvent& event);
-  void OnEvent(const ProbeEvent& /*event*/) {}        // no probes are sent
-  void OnEvent(const PeerMessageEvent& /*event*/) {}  // no messages are sent to peers
+  void OnEvent(const ProbeEvent& /*event*/) {}        // the Controller sends no health checks
+  void OnEvent(const PeerMessageEvent& /*event*/) {}  // the Controller sends no messages to peers
 
   void Start();
   void RunMaintenance();
@@ -56,13 +57,14 @@
   void OnObjectivePassed(RequestState& request);
   void OnStuckTimeout(RequestState& request);
 
-  // ---- A request's steps; each may end the request, and with it the reference ----
+  // ---- Steps of a request. Each step may end the request, which invalidates the reference. ----
   void Execute(RequestState& request, const AdmissionDecision& decision);
   void StartAttempt(RequestState& request);
   void RejectRequest(RequestState& request, Duration retry_after);
-  // No attempt can serve it any more: rejects it where that is true, else fails it.
-  void FinishWithoutAnswer(RequestState& request);
-  // The request is over. Cancels open attempts, and forgets the request once none is open.
+  // Ends a request that no further attempt can serve: rejects it if the client may safely retry, else fails
+  // it.
+  void FinishWithoutResponse(RequestState& request);
+  // Marks the request as finished, cancels its open attempts, and removes it once none is open.
   void Finish(RequestState& request);
   [[nodiscard]] Duration JitteredRetryAfter(Duration retry_after);
 
@@ -76,7 +78,7 @@
   RetryPolicy retries_{context_, admission_, upstreams_, latency_};
   Quota quota_{context_, admission_, latency_};
   bool started_ = false;
-  bool clients_mark_retries_ = false;  // some client has marked a request as a retry
+  bool clients_mark_retries_ = false;  // at least one client has marked a request as a retry
 };
 
 Controller::Impl::Impl(Settings settings, std::uint64_t seed, TimePoint now)
@@ -89,7 +91,7 @@
   const std::vector<ClassSettings>& classes = context_.settings().classes;
   traffic_.Resize(classes.size(), context_.settings().plans.size());
   latency_.Resize(classes.size());
-  // What was learnt of a place in the list goes with the name of its class.
+  // An index whose class has another name now starts without statistics.
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (i < previous.classes.size() && previous.classes[i].name == classes[i].name) continue;
     traffic_.ForgetClass(i);
@@ -122,8 +124,8 @@
 void Controller::Impl::OnEvent(const RequestEvent& event) {
   RequestState& request = AddRequest(event);
   clients_mark_retries_ |= event.retry;
-  const Duration until_final_answer = std::max(Duration(0), event.time_left - context_.settings().tick);
-  context_.Emit(SetTimer{until_final_answer, TimerToken(TimerKind::kFinalAnswer, request.id)});
+  const Duration until_final_response = std::max(Duration(0), event.time_left - context_.settings().tick);
+  context_.Emit(SetTimer{until_final_response, TimerToken(TimerKind::kFinalResponse, request.id)});
   retries_.OnRequest();
   if (admission_.ShouldShed(request)) return RejectRequest(request, admission_.RetryAfter());
   Execute(request, quota_.OnRequest(request, event));
@@ -144,9 +146,9 @@
   request.customer = event.customer;
   request.units = std::max(0.0, event.units);
   request.is_client_retry = event.retry;
-  request.key_pin = event.pin;
-  if (request.key_pin) {
-    request.key_expiry = context_.now() - request.key_pin->age + request.Class().key_ttl;
+  request.key_binding = event.pin;
+  if (request.key_binding) {
+    request.key_expiry = context_.now() - request.key_binding->age + request.Class().key_ttl;
   }
   request.deadline = context_.now() + event.time_left;
   request.objective_at = context_.now() + std::min(request.Class().latency_objective, event.time_left);
@@ -179,12 +181,12 @@
 void Controller::Impl::StartAttempt(RequestState& request) {
   const TimePoint now = context_.now();
   if (std::ssize(request.attempts) >= request.max_attempts || now >= request.deadline) {
-    return FinishWithoutAnswer(request);
+    return FinishWithoutResponse(request);
   }
   Upstream* upstream = selector_.Select(request);
   if (upstream == nullptr) {
-    // Where only servers in slow start are left the request ends: sent to them it would overload them.
-    if (!upstreams_.available().empty()) return FinishWithoutAnswer(request);
+    // Only upstreams in slow start are left, and the request would overload them.
+    if (!upstreams_.available().empty()) return FinishWithoutResponse(request);
     return context_.Emit(SetTimer{kSelectAgainDelay, TimerToken(TimerKind::kSelectAgain, request.id)});
   }
   selector_.OnAttemptStarted(*upstream);
@@ -192,7 +194,7 @@
   quota_.OnAttemptStarted(request);
   request.stage = RequestStage::kInFlight;
   request.attempts.push_back(Attempt{.server = upstream->info.id, .sent = now});
-  context_.Emit(Send{request.id, upstream->info.id, request.deadline - now, request.RepeatableUntil() - now});
+  context_.Emit(Send{request.id, upstream->info.id, request.deadline - now, request.RetryableUntil() - now});
   context_.Emit(SetTimer{retries_.StuckTimeout(request), TimerToken(TimerKind::kStuckAttempt, request.id)});
   context_.Emit(
       SetTimer{request.Class().latency_objective, TimerToken(TimerKind::kObjectivePassed, request.id)});
@@ -219,13 +221,13 @@
   quota_.OnAttemptFinished(*request, good ? event.true_units : 0);
   if (request->stage == RequestStage::kFinished || good || event.final) return Finish(*request);
   if (request->HasOpenAttempt()) return;
-  if (!retries_.MayRetry(*request, event.outcome)) return FinishWithoutAnswer(*request);
+  if (!retries_.MayRetry(*request, event.outcome)) return FinishWithoutResponse(*request);
   request->stage = RequestStage::kReadyToSend;
   StartAttempt(*request);
 }
 
 void Controller::Impl::OnEvent(const StreamStartedEvent& event) {
-  // The answer reaches the client from now on: no other can be given.
+  // The response is being forwarded to the client, so no other response can follow.
   if (RequestState* request = context_.FindRequest(event.id)) request->stage = RequestStage::kFinished;
 }
 
@@ -241,7 +243,7 @@
   }
 }
 
-// ---- The final answer ----
+// ---- The final response ----
 
 void Controller::Impl::RejectRequest(RequestState& request, Duration retry_after) {
   context_.Emit(Reject{request.id, JitteredRetryAfter(retry_after)});
@@ -259,10 +261,10 @@
   return std::min(jittered, longest);
 }
 
-void Controller::Impl::FinishWithoutAnswer(RequestState& request) {
+void Controller::Impl::FinishWithoutResponse(RequestState& request) {
   if (request.stage == RequestStage::kFinished) return;
-  if (request.IsSafeToRepeat()) {
-    // What holds the servers up is mostly over within a typical answer's time.
+  if (request.IsSafeToRetry()) {
+    // A fault at the upstreams mostly passes within a typical latency.
     const Duration typical = ToDuration(latency_.Typical(request.class_index));
     return RejectRequest(request, std::max(context_.settings().tick, typical));
   }
@@ -287,7 +289,7 @@
   if (RequestState* request = context_.FindRequest(event.id)) Finish(*request);
 }
 
-// ---- Timers and servers ----
+// ---- Timers and endpoint lists ----
 
 void Controller::Impl::OnEvent(const TimerEvent& event) {
   const TimerKind kind = TimerKindOf(event.token);
@@ -305,17 +307,18 @@
     if (context_.now() - attempt.sent < objective) continue;
     admission_.StopCounting(request, attempt, AttemptEnd::kAnswered);
   }
-  // In overload a late request makes way, unless clients retry without a mark and so double the work.
+  // Under overload a late request is ended to free capacity, but only if clients mark retries: an unmarked
+  // retry would double the work.
   if (clients_mark_retries_ && request.stage == RequestStage::kInFlight &&
       admission_.Pressure(request.Class()) > kHighPressure) {
-    FinishWithoutAnswer(request);
+    FinishWithoutResponse(request);
   }
 }
 
 void Controller::Impl::OnRequestTimer(RequestState& request, TimerKind kind) {
   switch (kind) {
-    case TimerKind::kFinalAnswer:
-      return FinishWithoutAnswer(request);
+    case TimerKind::kFinalResponse:
+      return FinishWithoutResponse(request);
     case TimerKind::kCounterTimeout:
       if (request.stage != RequestStage::kAwaitingCounter) return;
       return Execute(request, quota_.OnCounterTimeout(request));
@@ -330,7 +333,7 @@
     case TimerKind::kMaintenance:
     case TimerKind::kObjectivePassed:
     case TimerKind::kResubscribe:
-      return;  // handled before
+      return;  // OnEvent has handled these
   }
 }
 
--- a/src/policy/decision_context.h
+++ b/src/policy/decision_context.h
@@ -1,5 +1,5 @@
-// What the concerns of the decision module share: the settings in force, the event's time, the source of
-// random numbers, the requests, and the list of actions that the event leads to.
+// The state that all parts of the decision module share: the current settings, the time of the event, the
+// random number generator, the open requests, and the list of actions that the event leads to.
 #ifndef POSTSPREAD_POLICY_DECISION_CONTEXT_H_
 #define POSTSPREAD_POLICY_DECISION_CONTEXT_H_
 
@@ -19,29 +19,30 @@
 
   DecisionContext(std::uint64_t seed, TimePoint start) : random_(seed), now_(start) {}
 
-  // Puts other settings in force; returns those before.
+  // Replaces the settings and returns the previous ones.
   Settings Reconfigure(Settings next);
 
-  // Starts an event; kStalled if none came for so long, timers included, that the gateway stood still.
+  // Starts an event. Returns kStalled if the gateway has stalled, that is, if neither events nor timers
+  // arrived for a long time.
   EventGap BeginEvent(TimePoint now, std::vector<Action>& actions);
   void EndEvent() { actions_ = nullptr; }
 
   [[nodiscard]] const Settings& settings() const { return settings_; }
   [[nodiscard]] Duration longest_objective() const { return longest_objective_; }
-  // The settings of a class, for a request to keep; `class_index` must be in the settings.
+  // Returns the settings of a class, which a request can retain. `class_index` must be in the settings.
   [[nodiscard]] std::shared_ptr<const ClassSettings> ClassAt(std::size_t class_index) const {
     return classes_[class_index];
   }
-  // A plan's settings; for a negative index, an unknown plan, none of its limits apply.
+  // Returns the settings of a plan. A negative index stands for an unknown plan, which has no limits.
   [[nodiscard]] const PlanSettings& Plan(int plan_index) const;
 
-  // The time of the event; never decreases.
+  // Returns the time of the event. It never decreases.
   [[nodiscard]] TimePoint now() const { return now_; }
-  // Whether this event ended a stall: spans that it tells were lengthened by the gateway itself.
+  // Whether this event ended a stall. Then the durations in the event include the gateway's own delay.
   [[nodiscard]] bool JustStalled() const { return now_ == stall_ended_at_; }
 
   double Random() { return random_.Uniform(); }
-  // Appends an action of the current event.
+  // Appends an action to those of the current event.
   void Emit(Action action) { actions_->push_back(std::move(action)); }
 
   RequestState& AddRequest(RequestId id);
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kMaxConsecutiveFailures = 3;
-constexpr Duration kFirstEjection = std::chrono::seconds(1);  // doubled for each further one in a row
+constexpr Duration kFirstEjection = std::chrono::seconds(1);  // doubles with each consecutive ejection
 constexpr Duration kMaxEjection = std::chrono::seconds(8);
 constexpr int kMaxDoublings = 4;
 
@@ -19,13 +19,14 @@
 }
 
 void OutlierDetector::OnFailure(Upstream& upstream) const {
-  // A gateway that hears a server less than once a second can't wait for a second failure.
-  const double answers_per_second = load_.recent_answers() / statistics::kTrafficMemory.count();
-  const double answers_per_upstream =
-      answers_per_second / std::max<double>(1, static_cast<double>(upstreams_.available().size()));
+  // A gateway that receives less than one response per second from an upstream can't wait for a second
+  // failure.
+  const double responses_per_second = load_.recent_responses() / statistics::kTrafficTimeConstant.count();
+  const double responses_per_upstream =
+      responses_per_second / std::max<double>(1, static_cast<double>(upstreams_.available().size()));
   ++upstream.consecutive_failures;
   if (upstream.consecutive_failures >=
-      std::clamp(std::ceil(answers_per_upstream), 1.0, kMaxConsecutiveFailures)) {
+      std::clamp(std::ceil(responses_per_upstream), 1.0, kMaxConsecutiveFailures)) {
     Eject(upstream);
   }
 }
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,5 +1,5 @@
-// Outlier detection: servers that fail fast would draw traffic, so consecutive failures eject them for a
-// while.
+// Outlier detection: ejects an upstream for some time after consecutive failures. Without it an upstream that
+// fails fast would attract traffic.
 #ifndef POSTSPREAD_POLICY_OUTLIER_DETECTION_H_
 #define POSTSPREAD_POLICY_OUTLIER_DETECTION_H_
 
@@ -17,7 +17,7 @@
       : context_(context), upstreams_(upstreams), load_(load) {}
 
   void OnSuccess(Upstream& upstream) const;
-  // Ejects after some failures in a row. At least half of the available servers stay in.
+  // Ejects the upstream after some consecutive failures. At most half of the available upstreams are ejected.
   void OnFailure(Upstream& upstream) const;
 
  private:
--- a/src/policy/request_state.cpp
+++ b/src/policy/request_state.cpp
@@ -13,8 +13,8 @@
   return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.open; });
 }
 
-TimePoint RequestState::RepeatableUntil() const {
-  const bool ran_before = key_pin && key_pin->may_have_run;
+TimePoint RequestState::RetryableUntil() const {
+  const bool ran_before = key_binding && key_binding->may_have_run;
   TimePoint until = ran_before ? std::min(deadline, key_expiry) : deadline;
   if (Class().retry_safety != RetrySafety::kIdempotencyKey) return until;
   for (const Attempt& attempt : attempts) {
@@ -23,11 +23,11 @@
   return until;
 }
 
-bool RequestState::IsSafeToRepeat() const {
+bool RequestState::IsSafeToRetry() const {
   const ClassSettings& rules = Class();
   if (rules.retry_safety == RetrySafety::kIdempotent) return true;
   if (rules.retry_safety == RetrySafety::kIdempotencyKey && rules.scope == KeyScope::kAll) return true;
-  const bool ran_before = key_pin && key_pin->may_have_run;
+  const bool ran_before = key_binding && key_binding->may_have_run;
   return !ran_before && std::none_of(attempts.begin(), attempts.end(),
                                      [](const Attempt& attempt) { return attempt.may_have_run; });
 }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -1,4 +1,4 @@
-// A request from its arrival until its last attempt has ended.
+// The state of a request from its arrival until its last attempt has ended.
 #ifndef POSTSPREAD_POLICY_REQUEST_STATE_H_
 #define POSTSPREAD_POLICY_REQUEST_STATE_H_
 
@@ -17,43 +17,45 @@
   TimePoint sent{0};
   bool open = true;
   bool may_have_run = true;
-  bool counted_in_load = true;  // until it ends or its latency objective passes
+  bool counted_in_load = true;  // becomes false when the attempt ends or its latency objective passes
 };
 
 enum class RequestStage { kAwaitingCounter, kDelayed, kReadyToSend, kInFlight, kFinished };
 
-// On what ground the quota has admitted a request: counted in the counter's total, by the local limiter, or
-// beyond the quota.
+// How the quota has admitted a request: counted in the counter's total, by the local limiter, or beyond the
+// quota.
 enum class QuotaGrant { kNone, kCounted, kLocal, kOverQuota };
 
 struct RequestState {
   RequestId id = 0;
-  // Places in the settings as they were when it came; negative: not there.
+  // Indexes in the settings at the time of arrival. A negative index means that the settings have no such
+  // entry.
   int class_index = -1;
   int plan_index = -1;
   int max_attempts = 1;
-  std::shared_ptr<const ClassSettings> class_settings;  // null: an unknown class
+  std::shared_ptr<const ClassSettings> class_settings;  // null if the class is unknown
   std::string customer;
   double units = 1.0;
-  double charge_multiplier = 1.0;  // requests that its counter call stands for
+  double charge_multiplier = 1.0;  // the number of requests that its counter call stands for
   TimePoint deadline{0};
   TimePoint objective_at{0};
   RequestStage stage = RequestStage::kAwaitingCounter;
   QuotaGrant grant = QuotaGrant::kNone;
   bool is_client_retry = false;
-  bool retries_after_cancel = false;  // the open attempt is cancelled so that another can be sent
-  std::optional<KeyPin> key_pin;
-  TimePoint key_expiry{0};                      // with a key pin
-  std::optional<std::int64_t> borrowed_period;  // the later period that its units were moved to
+  bool retries_after_cancel = false;  // the open attempt is cancelled and a retry follows
+  std::optional<KeyPin> key_binding;
+  TimePoint key_expiry{0};                      // valid if key_binding is present
+  std::optional<std::int64_t> borrowed_period;  // its units are counted in this later period
   std::vector<Attempt> attempts;
 
-  // The rules of its class; of an unknown class the strictest.
+  // Returns the settings of its class, or the strictest ones if the class is unknown.
   [[nodiscard]] const ClassSettings& Class() const;
   [[nodiscard]] bool HasOpenAttempt() const;
-  // Until when a repeat of what may have run is recognized as one; the deadline where nothing may have run.
-  [[nodiscard]] TimePoint RepeatableUntil() const;
-  // Whether the client may send it again, whatever its attempts have done.
-  [[nodiscard]] bool IsSafeToRepeat() const;
+  // Returns the time until which upstreams recognize a retry by its idempotency key. If nothing may have run,
+  // this is the deadline.
+  [[nodiscard]] TimePoint RetryableUntil() const;
+  // Whether the client may safely retry the request, whether or not an attempt has run.
+  [[nodiscard]] bool IsSafeToRetry() const;
 };
 
 }  // namespace postspread::policy
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -8,7 +8,7 @@
 namespace postspread::policy {
 namespace {
 
-constexpr double kMinStuckTimeoutDivisor = 4;  // of the latency objective
+constexpr double kMinStuckTimeoutDivisor = 4;  // the minimum timeout is the latency objective divided by this
 
 }  // namespace
 
@@ -31,15 +31,17 @@
     return StuckAction::kWait;
   }
   const Settings& settings = context_.settings();
-  // In a queue all are late: a hedged request would lengthen it, a retry would lose its place.
+  // When requests queue, all of them are late: a hedged request would lengthen the queue, and a retry would
+  // lose its place in it.
   const double max_pressure = settings.hedging_allowed ? kSparePressure : kTargetPressure;
   if (admission_.Pressure(request.Class()) > max_pressure) return StuckAction::kWait;
   const Attempt& last = request.attempts.back();
   const Upstream* upstream = upstreams_.Find(last.server);
-  const bool is_stuck = upstream == nullptr || upstream->last_answer <= last.sent;
-  const bool may_repeat = request.Class().retry_safety != RetrySafety::kNotIdempotent &&
-                          (settings.hedging_allowed || settings.can_cancel) && !request.retries_after_cancel;
-  if (!is_stuck || !may_repeat || std::ssize(request.attempts) >= request.max_attempts) {
+  const bool is_stuck = upstream == nullptr || upstream->last_response <= last.sent;
+  const bool may_hedge_or_retry = request.Class().retry_safety != RetrySafety::kNotIdempotent &&
+                                  (settings.hedging_allowed || settings.can_cancel) &&
+                                  !request.retries_after_cancel;
+  if (!is_stuck || !may_hedge_or_retry || std::ssize(request.attempts) >= request.max_attempts) {
     return StuckAction::kWait;
   }
   if (!budget_.TryWithdraw()) return StuckAction::kWait;
@@ -48,7 +50,7 @@
 
 bool RetryPolicy::MayRetry(RequestState& request, Outcome outcome) {
   const bool already_paid = std::exchange(request.retries_after_cancel, false);
-  // An attempt that found no connection cost no server anything.
+  // An attempt whose connection failed has put no load on an upstream.
   const bool is_free = already_paid || outcome == Outcome::kConnectFailed;
   if (!is_free && !budget_.TryWithdraw()) return false;
   return context_.now() + context_.settings().tick < request.deadline;
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -1,4 +1,4 @@
-// Retries: how many further attempts all requests together may have, and when an attempt counts as stuck.
+// Retries: limits the retries and hedged requests of all requests together, and detects stuck attempts.
 #ifndef POSTSPREAD_POLICY_RETRY_H_
 #define POSTSPREAD_POLICY_RETRY_H_
 
@@ -10,12 +10,12 @@
 
 namespace postspread::policy {
 
-// Further attempts are paid from a budget that each request adds a fraction to, so that a fault of many
-// servers does not multiply the traffic.
+// A budget for retries and hedged requests, to which each request adds a fraction of an attempt. It prevents
+// a fault of many upstreams from multiplying the traffic.
 class RetryBudget {
  public:
   void OnRequest();
-  // Takes one attempt out; false where the budget is empty.
+  // Withdraws one attempt, or returns false if less than one is left.
   [[nodiscard]] bool TryWithdraw();
 
  private:
@@ -35,14 +35,15 @@
 
   void OnRequest() { budget_.OnRequest(); }
 
-  // How long an attempt of the request may take before it is checked for being stuck.
+  // Returns how long an attempt of the request may take before the gateway checks whether it is stuck.
   [[nodiscard]] Duration StuckTimeout(const RequestState& request) const;
 
-  // What to do about the last attempt, if its server has said nothing for so long. Withdraws from the budget
-  // for anything but kWait.
+  // Decides what to do about the last attempt after its stuck timeout. Withdraws from the budget unless it
+  // returns kWait.
   [[nodiscard]] StuckAction OnStuckTimeout(const RequestState& request);
 
-  // Whether the request may have another attempt now that none is open. Withdraws from the budget.
+  // Decides whether the request, which has no open attempt, may be retried. Withdraws from the budget, except
+  // for an attempt whose connection failed and for one that OnStuckTimeout has paid.
   [[nodiscard]] bool MayRetry(RequestState& request, Outcome outcome);
 
  private:
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,5 @@
-// Slow start: a server that has just started, or returned from an ejection, can do only part of its work.
+// Slow start: an upstream that has just started, or has returned from an ejection, has only part of its
+// capacity.
 #ifndef POSTSPREAD_POLICY_SLOW_START_H_
 #define POSTSPREAD_POLICY_SLOW_START_H_
 
@@ -9,8 +10,8 @@
 
 enum class SlowStartCause { kStart, kStartOrEjection };
 
-// The fraction of its full work that a server can surely do now: rises evenly to 1 over the slow-start
-// duration.
+// Returns the fraction of its capacity that an upstream surely has now. It rises linearly to 1 over the
+// slow-start duration.
 [[nodiscard]] double SlowStartWeight(const Settings& settings, const Upstream& upstream, SlowStartCause cause,
                                      TimePoint now);
 
--- a/src/policy/timer_token.h
+++ b/src/policy/timer_token.h
@@ -1,4 +1,4 @@
-// Timer tokens: what is due, and for which request.
+// Timer tokens: encode the kind of a timer and the request that it belongs to.
 #ifndef POSTSPREAD_POLICY_TIMER_TOKEN_H_
 #define POSTSPREAD_POLICY_TIMER_TOKEN_H_
 
@@ -10,7 +10,7 @@
 
 enum class TimerKind : std::uint16_t {
   kMaintenance = 1,
-  kFinalAnswer,
+  kFinalResponse,
   kCounterTimeout,
   kDelayOver,
   kStuckAttempt,
--- a/src/policy/upstream.h
+++ b/src/policy/upstream.h
@@ -1,4 +1,4 @@
-// What a gateway knows of one server.
+// The state that a gateway keeps for one upstream.
 #ifndef POSTSPREAD_POLICY_UPSTREAM_H_
 #define POSTSPREAD_POLICY_UPSTREAM_H_
 
@@ -7,29 +7,29 @@
 
 namespace postspread::policy {
 
-// After so many times the usual latency without an answer a server that holds work counts as stuck.
+// An upstream with attempts in flight counts as stuck after this many usual latencies without a response.
 constexpr double kStuckLatencies = 3;
 
 struct Upstream {
   ServerInfo info{};
   bool in_endpoint_list = true;
-  int in_flight = 0;  // this gateway's attempts
+  int in_flight = 0;  // attempts of this gateway
 
-  FloatSeconds latency{0};  // mean over answers ...
-  double samples = 0.0;     // ... that it stands for
+  FloatSeconds latency{0};  // the mean over recent responses
+  double samples = 0.0;     // the number of responses in that mean
   TimePoint sampled_at{0};
 
-  TimePoint last_answer{0};
-  TimePoint waiting_since{0};  // the first attempt sent since the last answer
+  TimePoint last_response{0};
+  TimePoint waiting_since{0};  // the time of the first attempt since the last response
 
   double reported_in_flight = 0.0;
-  bool reports_own_in_flight = false;  // the report includes this gateway's attempts
+  bool reports_own_in_flight = false;  // the reported number includes this gateway's attempts
   TimePoint reported_at{0};
 
   int consecutive_failures = 0;
-  int ejections = 0;  // in a row
+  int ejections = 0;  // consecutive ejections
   TimePoint ejected_until{0};
-  TimePoint readmitted_at{0};  // end of the last ejection: slow start begins
+  TimePoint readmitted_at{0};  // the end of the last ejection, when slow start begins
 
   [[nodiscard]] bool IsEjected(TimePoint now) const { return now < ejected_until; }
   [[nodiscard]] bool IsAvoided(TimePoint now) const {
--- a/src/policy/upstream_estimates.cpp
+++ b/src/policy/upstream_estimates.cpp
@@ -5,14 +5,18 @@
 namespace postspread::policy {
 namespace {
 
-constexpr double kMaxSamples = 8;       // answers that a server's latency is averaged over
-constexpr double kZoneWeight = 0.1;     // of one answer: a zone must follow within seconds of few answers
-constexpr double kReportWeight = 0.03;  // of one report in the mean over all servers
+constexpr double kMaxSamples = 8;  // an upstream's latency is a mean over this many responses
+// The weight of one response in the latency of its zone, which must follow a change within seconds even when
+// responses are few.
+constexpr double kZoneWeight = 0.1;
+constexpr double kReportWeight = 0.03;  // the weight of one report in the mean over all upstreams
 constexpr FloatSeconds kReportLifetime{1};
 constexpr FloatSeconds kMinLatencyLifetime{2};
-constexpr double kLatencyLifetimeGaps = 2;  // lifetime in usual gaps between two answers of one server
+// The lifetime of a latency, as a multiple of the usual time between two responses of one upstream.
+constexpr double kLatencyLifetimeGaps = 2;
 constexpr FloatSeconds kMinLatency{0.01};
-// Utilization u stands for about u / (1 - u) requests in flight; kept finite at u = 1.
+// A utilization of u corresponds to about u / (1 - u) requests in flight. The divisor kFullUtilization - u
+// keeps the estimate finite at u = 1.
 constexpr double kFullUtilization = 1.1;
 
 }  // namespace
@@ -55,7 +59,7 @@
 }
 
 double UpstreamEstimates::InFlight(const Upstream& upstream) const {
-  // A report that is old or never came says nothing: the usual load is expected, not none.
+  // When the report is old or missing, the estimate is the usual load rather than 0.
   const double trust =
       std::max(0.0, 1 - FloatSeconds(context_.now() - upstream.reported_at) / kReportLifetime);
   const double reported = trust * upstream.reported_in_flight + (1 - trust) * usual_reported_in_flight_;
@@ -64,8 +68,9 @@
 }
 
 double UpstreamEstimates::Freshness(TimePoint sampled_at) const {
-  const FloatSeconds gap = statistics::kTrafficMemory * static_cast<double>(upstreams_.available().size()) /
-                           std::max(1e-3, load_.recent_answers());
+  const FloatSeconds gap = statistics::kTrafficTimeConstant *
+                           static_cast<double>(upstreams_.available().size()) /
+                           std::max(1e-3, load_.recent_responses());
   const FloatSeconds lifetime = std::max(kMinLatencyLifetime, kLatencyLifetimeGaps * gap);
   return std::max(0.0, 1 - FloatSeconds(context_.now() - sampled_at) / lifetime);
 }
--- a/src/policy/upstream_estimates.h
+++ b/src/policy/upstream_estimates.h
@@ -1,5 +1,6 @@
-// Estimates of each server's latency and load, from answers and load reports. They fade with age, so that a
-// server that was slow once, and so gets nothing that could show otherwise, is tried again.
+// Estimates the latency and load of each upstream from responses and load reports. The estimates fade with
+// age. Otherwise an upstream that was slow once would receive no attempts that could show that it has
+// recovered.
 #ifndef POSTSPREAD_POLICY_UPSTREAM_ESTIMATES_H_
 #define POSTSPREAD_POLICY_UPSTREAM_ESTIMATES_H_
 
@@ -22,13 +23,14 @@
 
   void RecordReport(Upstream& upstream, const LoadReport& report);
   void RecordLatency(Upstream& upstream, Duration latency) const;
-  // An attempt in the zone took `latency`; a failure counts as the longest latency objective.
+  // Records that an attempt in the zone took `latency`. For a failure the caller passes the maximum latency
+  // objective.
   void RecordZoneLatency(const std::string& zone, FloatSeconds latency);
 
-  // The expected latency of a server, its zone's where little is known of its own.
+  // Returns the expected latency of an upstream. With few samples it tends to the latency of its zone.
   [[nodiscard]] FloatSeconds Latency(const Upstream& upstream) const;
   [[nodiscard]] FloatSeconds ZoneLatency(const std::string& zone) const;
-  // The expected number of requests in flight at a server, those of other gateways included.
+  // Returns the expected number of requests in flight at an upstream, including those of other gateways.
   [[nodiscard]] double InFlight(const Upstream& upstream) const;
 
  private:
@@ -37,16 +39,16 @@
     TimePoint sampled_at{0};
   };
 
-  // The fraction of a latency's weight that its age leaves.
+  // Returns the fraction of its weight that a latency of this age retains.
   [[nodiscard]] double Freshness(TimePoint sampled_at) const;
-  // How many answers a server's own latency still stands for.
+  // Returns the number of samples that the upstream's latency still stands for.
   [[nodiscard]] double FreshSamples(const Upstream& upstream) const;
 
   const DecisionContext& context_;
   const UpstreamSet& upstreams_;
   statistics::LoadStatistics& load_;
   std::map<std::string, Zone> zones_;
-  double usual_reported_in_flight_ = 0.0;  // mean over the reports of all servers
+  double usual_reported_in_flight_ = 0.0;  // the mean over the reports of all upstreams
 };
 
 }  // namespace postspread::policy
--- a/src/policy/upstream_selector.cpp
+++ b/src/policy/upstream_selector.cpp
@@ -7,13 +7,19 @@
 namespace postspread::policy {
 namespace {
 
-constexpr double kCostJitter = 0.3;  // of a server's cost, so that gateways don't all choose the same
+// Up to this fraction is added to an upstream's cost at random, so that gateways don't all select the same
+// one.
+constexpr double kCostJitter = 0.3;
 constexpr std::size_t kMaxCandidates = 12;
-constexpr double kGoldenRatio = 0.6180339887;  // its multiples, modulo 1, lie evenly however many there are
-constexpr double kZoneCrossFactor = 25;  // of the crossing price: a price of 0.02 makes half as dear again
-constexpr double kUnansweredOfObjective =
-    0.5;  // of the longest objective: a cancelled attempt this old is a failure
-constexpr double kMinServerWeight = 0.01;
+// The multiples of this number, modulo 1, are evenly distributed however many there are.
+constexpr double kGoldenRatio = 0.6180339887;
+// The crossing price times this factor is added to the cost of an upstream in another zone: a price of 0.02
+// adds half of the cost.
+constexpr double kZoneCrossFactor = 25;
+// A cancelled or timed-out attempt at an upstream that has sent no response since the attempt started counts
+// as a failure from this fraction of the maximum objective on.
+constexpr double kUnresponsiveFractionOfObjective = 0.5;
+constexpr double kMinUpstreamWeight = 0.01;
 constexpr double kMinTotalWeight = 1e-3;
 
 bool WasSentTo(const RequestState& request, const Upstream& upstream) {
@@ -21,7 +27,9 @@
                      [&upstream](const Attempt& attempt) { return attempt.server == upstream.info.id; });
 }
 
-bool IsOwnEnding(Outcome outcome) { return outcome == Outcome::kCancelled || outcome == Outcome::kNotSent; }
+bool IsEndedByGateway(Outcome outcome) {
+  return outcome == Outcome::kCancelled || outcome == Outcome::kNotSent;
+}
 
 }  // namespace
 
@@ -36,7 +44,8 @@
 }
 
 bool UpstreamSelector::TakesSlowStartTraffic(const RequestState& request, const Upstream& drawn) {
-  // Where most are in slow start each gets more than its fraction, up to half of what overloads it.
+  // If most upstreams are in slow start, each receives more than its fraction, up to half of its overload
+  // multiple.
   const double boost = std::clamp(static_cast<double>(upstreams_.available().size()) /
                                       std::max(kMinTotalWeight, upstreams_.total_weight()),
                                   1.0, std::max(1.0, context_.settings().overload_multiple / 2));
@@ -49,12 +58,13 @@
                                            Candidates candidates) {
   const auto& available = upstreams_.available();
   const std::size_t count = available.size();
-  // A gateway that hears a server less than once a second keeps to its own few, by its rank, and the one
-  // drawn: spread over all it would have to meet each bad server to leave it.
-  const bool hears_little =
-      load_.recent_answers() < statistics::kTrafficMemory.count() * static_cast<double>(count);
+  // A gateway that receives less than one response per second from each upstream only compares a few
+  // upstreams, which its rank determines, and the one drawn. If it spread its attempts over all upstreams, it
+  // would have to fail at each outlier before it could avoid it.
+  const bool has_few_responses =
+      load_.recent_responses() < statistics::kTrafficTimeConstant.count() * static_cast<double>(count);
   const double offset =
-      hears_little ? std::fmod(context_.settings().rank * kGoldenRatio, 1.0) : context_.Random();
+      has_few_responses ? std::fmod(context_.settings().rank * kGoldenRatio, 1.0) : context_.Random();
   const auto first = static_cast<std::size_t>(offset * static_cast<double>(count));
   Upstream* best = nullptr;
   double best_cost = 0;
@@ -82,13 +92,14 @@
 
 bool UpstreamSelector::MaySend(const RequestState& request, const Upstream& upstream) const {
   const ClassSettings& rules = request.Class();
-  if (context_.now() >= request.RepeatableUntil()) return false;
+  if (context_.now() >= request.RetryableUntil()) return false;
   const auto in_scope = [&](const std::string& zone, std::int64_t cell) {
     if (rules.scope == KeyScope::kZone) return upstream.info.zone == zone;
     if (rules.scope == KeyScope::kCell) return upstream.info.cell == cell;
     return true;
   };
-  if (request.key_pin && request.key_pin->bound && !in_scope(request.key_pin->zone, request.key_pin->cell)) {
+  if (request.key_binding && request.key_binding->bound &&
+      !in_scope(request.key_binding->zone, request.key_binding->cell)) {
     return false;
   }
   for (const Attempt& attempt : request.attempts) {
@@ -106,14 +117,14 @@
 
 double UpstreamSelector::Cost(const Upstream& upstream) const {
   double cost = estimates_.Latency(upstream).count() * (estimates_.InFlight(upstream) + 1) /
-                std::max(kMinServerWeight, upstream.info.weight);
+                std::max(kMinUpstreamWeight, upstream.info.weight);
   if (upstream.info.zone != context_.settings().zone) {
     cost *= 1 + kZoneCrossFactor * context_.settings().zone_cross_price;
   }
   const FloatSeconds usual = estimates_.ZoneLatency(upstream.info.zone);
-  const FloatSeconds unanswered(upstream.in_flight > 0 ? context_.now() - upstream.waiting_since
-                                                       : Duration(0));
-  if (unanswered > kStuckLatencies * usual) cost *= 1 + unanswered / usual;
+  const FloatSeconds without_response(upstream.in_flight > 0 ? context_.now() - upstream.waiting_since
+                                                             : Duration(0));
+  if (without_response > kStuckLatencies * usual) cost *= 1 + without_response / usual;
   return cost;
 }
 
@@ -128,29 +139,30 @@
   upstream->in_flight = std::max(0, upstream->in_flight - 1);
   const bool good = event.outcome == Outcome::kOk;
   if (good || event.outcome == Outcome::kError || event.outcome == Outcome::kRejected) {
-    upstream->last_answer = context_.now();
+    upstream->last_response = context_.now();
     upstream->waiting_since = context_.now();
   }
-  const bool too_late = IsUnansweredTooLong(*upstream, event);
+  const bool is_unresponsive = IsUnresponsive(*upstream, event);
   estimates_.RecordReport(*upstream, event.load);
-  if (!IsOwnEnding(event.outcome) && !context_.JustStalled()) {
+  if (!IsEndedByGateway(event.outcome) && !context_.JustStalled()) {
     estimates_.RecordZoneLatency(upstream->info.zone,
                                  FloatSeconds(good ? event.elapsed : context_.longest_objective()));
   }
-  if (good || too_late) estimates_.RecordLatency(*upstream, event.elapsed);
+  if (good || is_unresponsive) estimates_.RecordLatency(*upstream, event.elapsed);
   if (good) {
     outliers_.OnSuccess(*upstream);
-  } else if (too_late || !IsOwnEnding(event.outcome)) {
+  } else if (is_unresponsive || !IsEndedByGateway(event.outcome)) {
     outliers_.OnFailure(*upstream);
   }
 }
 
-// Without it a server that works but answers too late to be heard would look like a usual one, since the
-// attempt ends by this gateway's own doing.
-bool UpstreamSelector::IsUnansweredTooLong(const Upstream& upstream, const OutcomeEvent& event) const {
+// Without this check an upstream that responds too late for every attempt would look normal, because the
+// gateway itself ends the attempts.
+bool UpstreamSelector::IsUnresponsive(const Upstream& upstream, const OutcomeEvent& event) const {
   if (event.outcome != Outcome::kCancelled && event.outcome != Outcome::kTimeout) return false;
-  return !context_.JustStalled() && upstream.last_answer < context_.now() - event.elapsed &&
-         FloatSeconds(event.elapsed) > kUnansweredOfObjective * FloatSeconds(context_.longest_objective());
+  return !context_.JustStalled() && upstream.last_response < context_.now() - event.elapsed &&
+         FloatSeconds(event.elapsed) >
+             kUnresponsiveFractionOfObjective * FloatSeconds(context_.longest_objective());
 }
 
 }  // namespace postspread::policy
--- a/src/policy/upstream_selector.h
+++ b/src/policy/upstream_selector.h
@@ -1,4 +1,4 @@
-// Chooses the server for an attempt and learns from how attempts end.
+// Selects the upstream for an attempt, and updates its estimates when attempts end.
 #ifndef POSTSPREAD_POLICY_UPSTREAM_SELECTOR_H_
 #define POSTSPREAD_POLICY_UPSTREAM_SELECTOR_H_
 
@@ -22,11 +22,13 @@
         estimates_(context, upstreams, load),
         outliers_(context, upstreams, load) {}
 
-  // The server for the request's next attempt; null where none may take it.
+  // Returns the upstream for the request's next attempt, or null if no upstream may receive it.
   //
-  // One draw over all servers gives a server in slow start its weight's fraction of a full one's traffic,
-  // summed over any number of gateways. All else goes to the cheapest of a few full ones. Servers that are
-  // ejected, or that the request was sent to before, come in only where no other is left.
+  // First it draws one of all upstreams at random, and selects it if it is in slow start, with the
+  // probability of its slow-start weight. So an upstream in slow start receives that fraction of the traffic
+  // of a full one, summed over any number of gateways. All other attempts go to the cheapest of a few
+  // upstreams with full capacity. An upstream that is ejected, or that the request was sent to before, is
+  // selected only if no other is left.
   [[nodiscard]] Upstream* Select(const RequestState& request);
 
   void OnAttemptStarted(Upstream& upstream) const;
@@ -39,12 +41,12 @@
   [[nodiscard]] Upstream* SelectCheapest(const RequestState& request, Upstream& drawn, Candidates candidates);
   [[nodiscard]] bool IsCandidate(const RequestState& request, const Upstream& upstream,
                                  Candidates candidates) const;
-  // Whether sending there keeps to the request's rules: deadline, idempotency, and the scope of its key.
+  // Whether an attempt at the upstream conforms to the request's deadline, retry safety and key scope.
   [[nodiscard]] bool MaySend(const RequestState& request, const Upstream& upstream) const;
   [[nodiscard]] double Weight(const Upstream& upstream, SlowStartCause cause) const;
   [[nodiscard]] double Cost(const Upstream& upstream) const;
-  // Whether an attempt that this gateway ended says that its server answers too late.
-  [[nodiscard]] bool IsUnansweredTooLong(const Upstream& upstream, const OutcomeEvent& event) const;
+  // Whether an attempt that this gateway ended is evidence that its upstream responds too late.
+  [[nodiscard]] bool IsUnresponsive(const Upstream& upstream, const OutcomeEvent& event) const;
 
   DecisionContext& context_;
   UpstreamSet& upstreams_;
--- a/src/policy/upstream_set.cpp
+++ b/src/policy/upstream_set.cpp
@@ -12,7 +12,7 @@
   }
   for (const ServerInfo& info : *event.servers) {
     Upstream& upstream = upstreams_[info.id];
-    // A new process: what was known of the old one no longer holds.
+    // The upstream has a new process, so the state of the old one is discarded.
     if (info.started != upstream.info.started) {
       upstream = Upstream{.in_flight = upstream.in_flight, .waiting_since = context_.now()};
     }
--- a/src/policy/upstream_set.h
+++ b/src/policy/upstream_set.h
@@ -1,4 +1,4 @@
-// The servers that a gateway knows, and which of them are available: listed and up.
+// The upstreams that a gateway knows, and those of them that are available, that is, listed and up.
 #ifndef POSTSPREAD_POLICY_UPSTREAM_SET_H_
 #define POSTSPREAD_POLICY_UPSTREAM_SET_H_
 
@@ -15,16 +15,16 @@
  public:
   explicit UpstreamSet(const DecisionContext& context) : context_(context) {}
 
-  // Takes on an endpoint list; `event.servers` is not null.
+  // Applies an endpoint list, which must not be null.
   void OnEndpointList(const EndpointListEvent& event);
-  // Forgets servers that have left the list and have no attempt in flight.
+  // Removes upstreams that are no longer in the list and have no attempt in flight.
   void RunMaintenance();
 
   [[nodiscard]] Upstream* Find(const std::string& id);
   [[nodiscard]] const Upstream* Find(const std::string& id) const;
-  // In the order of ids; ejected servers included.
+  // Returns the available upstreams, ordered by id and including ejected ones.
   [[nodiscard]] const std::vector<Upstream*>& available() const { return available_; }
-  // Sum of the slow-start weights of the available servers, as of the last refresh.
+  // Returns the sum of the slow-start weights of the available upstreams, as of the last refresh.
   [[nodiscard]] double total_weight() const { return total_weight_; }
   [[nodiscard]] Controller::UpstreamCounts Count(TimePoint now) const;
 
--- a/src/statistics/decaying_sum.h
+++ b/src/statistics/decaying_sum.h
@@ -1,4 +1,4 @@
-// A sum that forgets exponentially with time. The quotient of two of them is a moving average.
+// A sum that decays exponentially with time. The quotient of two such sums is a moving average.
 #ifndef POSTSPREAD_STATISTICS_DECAYING_SUM_H_
 #define POSTSPREAD_STATISTICS_DECAYING_SUM_H_
 
@@ -12,17 +12,17 @@
 
 class DecayingSum {
  public:
-  // Forgets what has passed since the last call; `memory` is the span that leaves 1/e of the sum.
-  void Decay(TimePoint now, FloatSeconds memory) {
-    if (now > decayed_at_) value_ *= std::exp(-FloatSeconds(now - decayed_at_) / memory);
+  // Applies the decay since the last call. After `time_constant` 1/e of the sum is left.
+  void Decay(TimePoint now, FloatSeconds time_constant) {
+    if (now > decayed_at_) value_ *= std::exp(-FloatSeconds(now - decayed_at_) / time_constant);
     decayed_at_ = std::max(decayed_at_, now);
   }
 
-  // Adds to the sum as it was last decayed.
+  // Adds to the sum without decaying it first.
   void Add(double value) { value_ += value; }
 
-  void Add(TimePoint now, double value, FloatSeconds memory) {
-    Decay(now, memory);
+  void Add(TimePoint now, double value, FloatSeconds time_constant) {
+    Decay(now, time_constant);
     Add(value);
   }
 
--- a/src/statistics/float_seconds.h
+++ b/src/statistics/float_seconds.h
@@ -1,7 +1,7 @@
-// Spans as real numbers of seconds, which averages and decays are computed in.
+// Durations as floating-point seconds, the type in which averages and decays are computed.
 //
-// Convert a Duration explicitly before it meets a FloatSeconds: mixed arithmetic is done in microseconds and
-// rounds differently.
+// Convert a Duration explicitly before you combine it with FloatSeconds: mixed arithmetic is done in
+// microseconds and rounds differently.
 #ifndef POSTSPREAD_STATISTICS_FLOAT_SECONDS_H_
 #define POSTSPREAD_STATISTICS_FLOAT_SECONDS_H_
 
@@ -15,7 +15,7 @@
 
 using FloatSeconds = std::chrono::duration<double>;
 
-// Rounds down to a microsecond; a negative span becomes 0 and one over a million seconds that limit.
+// Rounds down to a microsecond, and clamps the result to between 0 and a million seconds.
 inline Duration ToDuration(FloatSeconds span) {
   constexpr double kMaxSeconds = 1e6;
   constexpr double kMicrosecondsPerSecond = 1e6;
--- a/src/statistics/latency_statistics.cpp
+++ b/src/statistics/latency_statistics.cpp
@@ -5,8 +5,10 @@
 namespace postspread::statistics {
 namespace {
 
-constexpr double kTypicalWeight = 0.03;  // of one answer: a mean over some tens of answers
-// Weights of one answer that is faster or slower than the unqueued time: it settles where a tenth are faster.
+// The weight of one response in the recent mean, which therefore covers some tens of responses.
+constexpr double kRecentMeanWeight = 0.03;
+// The weights of a response that is faster or slower than the unqueued time. With this ratio the estimate
+// converges to the value that a tenth of the responses are faster than.
 constexpr double kUnqueuedWeightFaster = 0.1;
 constexpr double kUnqueuedWeightSlower = 0.01;
 constexpr double kMaxRelativeServiceTime = 4;
@@ -25,22 +27,23 @@
 
 void LatencyStatistics::Record(std::size_t class_index, FloatSeconds latency, ServiceCondition condition) {
   ClassLatency& known = classes_[class_index];
-  known.typical += (latency - known.typical) * (known.typical.count() == 0 ? 1.0 : kTypicalWeight);
+  known.recent_mean +=
+      (latency - known.recent_mean) * (known.recent_mean.count() == 0 ? 1.0 : kRecentMeanWeight);
   known.unqueued += (latency - known.unqueued) * UnqueuedWeight(known.unqueued, latency, condition);
 }
 
 FloatSeconds LatencyStatistics::Typical(int class_index) const {
-  return class_index < 0 ? FloatSeconds(0) : classes_[static_cast<std::size_t>(class_index)].typical;
+  return class_index < 0 ? FloatSeconds(0) : classes_[static_cast<std::size_t>(class_index)].recent_mean;
 }
 
 double LatencyStatistics::RelativeServiceTime(int class_index, const TrafficMix& traffic) const {
   double sum = 0;
   double units = 0;
-  for (const TrafficMix::Cell& cell : traffic.cells()) {
-    const double unqueued = classes_[cell.class_index].unqueued.count();
+  for (const TrafficMix::Bucket& bucket : traffic.buckets()) {
+    const double unqueued = classes_[bucket.class_index].unqueued.count();
     if (unqueued <= 0) continue;
-    sum += cell.units.value() * unqueued;
-    units += cell.units.value();
+    sum += bucket.units.value() * unqueued;
+    units += bucket.units.value();
   }
   const double own = class_index < 0 ? 0.0 : classes_[static_cast<std::size_t>(class_index)].unqueued.count();
   if (sum <= 0 || own <= 0) return 1.0;
--- a/src/statistics/load_statistics.cpp
+++ b/src/statistics/load_statistics.cpp
@@ -6,17 +6,19 @@
 namespace postspread::statistics {
 namespace {
 
-constexpr double kAnswersInMemory = 10;      // a mean over so many is off by a third
-constexpr double kAnswersForConfidence = 5;  // fewer tell nothing of the service time
-constexpr double kMinAnswers = 0.5;          // divisor while answers are absent
+// The relative error of a mean over this many responses is about a third.
+constexpr double kResponsesPerTimeConstant = 10;
+constexpr double kResponsesForConfidence = 5;  // fewer responses are no evidence of the service time
+constexpr double kMinResponses = 0.5;          // the minimum divisor, which prevents a division by 0
 
-// Weights of one maintenance round.
-constexpr double kBaselineWeightFaster = 0.1;     // a lull shows within a second ...
-constexpr double kBaselineWeightSlower = 0.0005;  // ... and is forgotten over minutes
-constexpr double kUsualInFlightWeight = 0.01;     // ten seconds of normal condition
+// Weights of one maintenance round, ten of which run per second. The baseline follows faster service times
+// within a second, and rises over minutes. The usual number in flight is a mean over ten seconds.
+constexpr double kBaselineWeightFaster = 0.1;
+constexpr double kBaselineWeightSlower = 0.0005;
+constexpr double kUsualInFlightWeight = 0.01;
 
 constexpr double kNormalOverBaseline = 1.5;      // service times up to this multiple are normal
-constexpr double kMaxBaselineOfObjective = 0.2;  // what takes longer was measured in a queue
+constexpr double kMaxBaselineOfObjective = 0.2;  // a longer service time was measured with queueing
 
 }  // namespace
 
@@ -25,50 +27,51 @@
 void LoadStatistics::OnAttemptEnded(TimePoint now) { Integrate(now, -1); }
 
 void LoadStatistics::RecordAnswer(TimePoint now, double relative_service_time) {
-  answered_.Add(relative_service_time);
-  recent_answers_.Add(now, 1.0, kTrafficMemory);
+  weighted_responses_.Add(relative_service_time);
+  recent_responses_.Add(now, 1.0, kTrafficTimeConstant);
 }
 
 void LoadStatistics::RecordUtilization(TimePoint now, double utilization) {
-  reported_utilization_.Add(now, utilization, kTrafficMemory);
-  reports_.Add(now, 1, kTrafficMemory);
+  reported_utilization_.Add(now, utilization, kTrafficTimeConstant);
+  reports_.Add(now, 1, kTrafficTimeConstant);
 }
 
 void LoadStatistics::Integrate(TimePoint now) { Integrate(now, 0); }
 
 void LoadStatistics::Integrate(TimePoint now, int change_in_flight) {
-  const FloatSeconds memory = Memory(now);
+  const FloatSeconds time_constant = Memory(now);
   const FloatSeconds gap(now - integrated_at_);
-  busy_.Decay(now, memory);
-  answered_.Decay(now, memory);
-  busy_.Add(in_flight_ * memory.count() * (1 - std::exp(-gap / memory)));
+  in_flight_integral_.Decay(now, time_constant);
+  weighted_responses_.Decay(now, time_constant);
+  in_flight_integral_.Add(in_flight_ * time_constant.count() * (1 - std::exp(-gap / time_constant)));
   integrated_at_ = now;
   in_flight_ += change_in_flight;
 }
 
 FloatSeconds LoadStatistics::Memory(TimePoint now) {
-  recent_answers_.Decay(now, kTrafficMemory);
-  const FloatSeconds observed = std::min(kTrafficMemory, FloatSeconds(now - start_));
-  return std::clamp(kAnswersInMemory * observed / std::max(1e-3, recent_answers_.value()), kMinLoadMemory,
-                    kTrafficMemory);
+  recent_responses_.Decay(now, kTrafficTimeConstant);
+  const FloatSeconds observed = std::min(kTrafficTimeConstant, FloatSeconds(now - start_));
+  return std::clamp(kResponsesPerTimeConstant * observed / std::max(1e-3, recent_responses_.value()),
+                    kMinLoadMemory, kTrafficTimeConstant);
 }
 
 FloatSeconds LoadStatistics::ServiceTime(TimePoint now) {
   Integrate(now);
-  return FloatSeconds(busy_.value() / std::max(answered_.value(), kMinAnswers));
+  return FloatSeconds(in_flight_integral_.value() / std::max(weighted_responses_.value(), kMinResponses));
 }
 
 double LoadStatistics::Confidence() const {
-  return std::min(1.0, (answered_.value() + in_flight_) / kAnswersForConfidence);
+  return std::min(1.0, (weighted_responses_.value() + in_flight_) / kResponsesForConfidence);
 }
 
 void LoadStatistics::LearnBaseline(TimePoint now, ServiceCondition condition,
                                    FloatSeconds longest_objective) {
-  if (answered_.value() <= kAnswersForConfidence) return;
-  const FloatSeconds service_time(busy_.value() / answered_.value());
+  if (weighted_responses_.value() <= kResponsesForConfidence) return;
+  const FloatSeconds service_time(in_flight_integral_.value() / weighted_responses_.value());
   if (baseline_.count() <= 0) baseline_ = service_time;
   if (condition == ServiceCondition::kNormal && service_time < kNormalOverBaseline * baseline_) {
-    usual_in_flight_ += (busy_.value() / Memory(now).count() - usual_in_flight_) * kUsualInFlightWeight;
+    usual_in_flight_ +=
+        (in_flight_integral_.value() / Memory(now).count() - usual_in_flight_) * kUsualInFlightWeight;
   }
   baseline_ +=
       (service_time - baseline_) * (service_time < baseline_ ? kBaselineWeightFaster : kBaselineWeightSlower);
@@ -76,7 +79,7 @@
 }
 
 bool LoadStatistics::IsInFlightBelow(TimePoint now, double fraction) {
-  return busy_.value() < fraction * usual_in_flight_ * Memory(now).count();
+  return in_flight_integral_.value() < fraction * usual_in_flight_ * Memory(now).count();
 }
 
 bool LoadStatistics::IsUtilizationBelow(double utilization) const {
--- a/src/statistics/load_statistics.h
+++ b/src/statistics/load_statistics.h
@@ -1,7 +1,7 @@
-// The load that a gateway sees on its servers: attempts in flight, answers, reported utilization.
+// The load that a gateway observes at its upstreams: attempts in flight, responses, reported utilization.
 //
-// Figures only; src/policy/admission.h says what follows from them. The service time comes from Little's law:
-// attempts in flight over answers a second.
+// This module only measures; src/policy/admission.h decides. It computes the service time by Little's law:
+// attempts in flight divided by responses per second.
 #ifndef POSTSPREAD_STATISTICS_LOAD_STATISTICS_H_
 #define POSTSPREAD_STATISTICS_LOAD_STATISTICS_H_
 
@@ -12,45 +12,48 @@
 
 namespace postspread::statistics {
 
-// The least memory of the load statistics: some service times, so that a single burst shows.
+// The minimum time constant of the load statistics. It covers a few service times, so that a single burst is
+// visible.
 constexpr FloatSeconds kMinLoadMemory{0.3};
 
 class LoadStatistics {
  public:
   explicit LoadStatistics(TimePoint start) : start_(start) {}
 
-  // The gateway handled nothing up to now, so what passed tells nothing of the servers.
+  // Skips the time since the last update: the gateway handled no events in it, so it says nothing about the
+  // upstreams.
   void OnStall(TimePoint now) { integrated_at_ = now; }
 
   void OnAttemptStarted(TimePoint now);
-  // An attempt leaves the figures: it has ended, or has taken longer than its class's latency objective.
+  // Removes an attempt from the statistics: it has ended, or has exceeded the latency objective of its class.
   void OnAttemptEnded(TimePoint now);
-  // The attempt that has just ended counts as an answer; `relative_service_time` is its class's.
+  // Counts the attempt that has just ended as a response. `relative_service_time` is that of its class.
   void RecordAnswer(TimePoint now, double relative_service_time);
   void RecordUtilization(TimePoint now, double utilization);
 
-  // Brings the figures up to now.
+  // Updates the statistics to `now`.
   void Integrate(TimePoint now);
 
-  // How long the figures remember: longer where answers are few, so that their mean is no chance.
+  // The time constant of the statistics. It is longer when responses are few, so that random fluctuations
+  // don't dominate their mean.
   [[nodiscard]] FloatSeconds Memory(TimePoint now);
 
-  // How long an attempt now takes. Attempts past the objective don't count, so that answers that never come
-  // don't look like a queue.
+  // The present service time of an attempt. Attempts that exceed the latency objective don't count, so that
+  // an upstream that never responds isn't mistaken for a queue.
   [[nodiscard]] FloatSeconds ServiceTime(TimePoint now);
-  // How much evidence the service time rests on, 0 to 1.
+  // The amount of evidence for the service time, 0 to 1.
   [[nodiscard]] double Confidence() const;
-  // The service time without queueing; 0 until it has been learnt.
+  // The service time without queueing; 0 until LearnBaseline has determined it.
   [[nodiscard]] FloatSeconds baseline() const { return baseline_; }
-  // Learns the baseline, and in normal condition the usual number of attempts in flight.
+  // Updates the baseline, and in normal condition the usual number of attempts in flight.
   void LearnBaseline(TimePoint now, ServiceCondition condition, FloatSeconds longest_objective);
 
-  // Whether fewer attempts are in flight than `fraction` of the usual number.
+  // Whether the number of attempts in flight is below `fraction` of the usual number.
   [[nodiscard]] bool IsInFlightBelow(TimePoint now, double fraction);
-  // Whether servers report less mean utilization than this; false where they report none.
+  // Whether the mean utilization that upstreams report is below `utilization`; false if they report none.
   [[nodiscard]] bool IsUtilizationBelow(double utilization) const;
-  // Answers within kTrafficMemory.
-  [[nodiscard]] double recent_answers() const { return recent_answers_.value(); }
+  // The number of responses, decayed with kTrafficTimeConstant.
+  [[nodiscard]] double recent_responses() const { return recent_responses_.value(); }
 
  private:
   void Integrate(TimePoint now, int change_in_flight);
@@ -58,9 +61,9 @@
   TimePoint start_;
   TimePoint integrated_at_{0};
   int in_flight_ = 0;
-  DecayingSum busy_;      // attempts in flight, integrated over time
-  DecayingSum answered_;  // answers, each by its class's relative service time
-  DecayingSum recent_answers_;
+  DecayingSum in_flight_integral_;  // attempts in flight, integrated over time in seconds
+  DecayingSum weighted_responses_;  // responses, each weighted by the relative service time of its class
+  DecayingSum recent_responses_;
   DecayingSum reported_utilization_;
   DecayingSum reports_;
   FloatSeconds baseline_{0};
--- a/src/statistics/random.h
+++ b/src/statistics/random.h
@@ -1,4 +1,4 @@
-// A small, portable source of random bits: the same seed gives the same draws on every platform.
+// A small, portable pseudo-random generator: a seed yields the same sequence on every platform.
 #ifndef POSTSPREAD_STATISTICS_RANDOM_H_
 #define POSTSPREAD_STATISTICS_RANDOM_H_
 
@@ -7,7 +7,7 @@
 
 namespace postspread::statistics {
 
-// One step of splitmix64.
+// Performs one step of splitmix64.
 inline std::uint64_t Mix(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -25,7 +25,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : state_(Mix(seed)) {}
 
-  // Uniform in [0, 1), with the 53 bits that a double holds.
+  // Returns a value that is uniformly distributed in [0, 1), with the 53 bits that a double holds.
   double Uniform() {
     state_ = Mix(state_);
     return static_cast<double>(state_ >> 11) * 0x1p-53;
