--- a/src/safety/attempt_rules.h
+++ b/src/safety/attempt_rules.h
@@ -1,5 +1,6 @@
-// Whether a delivery attempt may start now, and whether a request may be retried. Asked when an attempt is
-// decided, and again when its first byte is about to be sent. No clock, no I/O.
+// Decides whether an attempt may start now, and whether a request may be retried. The gateway checks these
+// rules when it decides on an attempt, and again before it sends the first byte. This module reads no clock
+// and does no I/O.
 #ifndef POSTSPREAD_SAFETY_ATTEMPT_RULES_H_
 #define POSTSPREAD_SAFETY_ATTEMPT_RULES_H_
 
@@ -14,31 +15,32 @@
 
 using Clock = std::chrono::steady_clock;
 
-// What is known of an attempt at this moment.
+// What the gateway knows about an attempt now.
 struct AttemptFacts {
-  bool client_waits = false;         // as its socket says now
-  bool upstream_ready = false;       // by the newest endpoint list
-  bool connection_current = false;   // to the process and address that the list names
-  std::chrono::microseconds way{0};  // maximum time for the first byte to arrive
-  Clock::time_point begin_by;        // the first byte must arrive by then
-  Clock::time_point deadline;        // of its request
+  bool client_waits = false;         // the client still waits, according to its socket
+  bool upstream_ready = false;       // the newest endpoint list has the upstream as ready
+  bool connection_current = false;   // the connection goes to the process and address in that list
+  std::chrono::microseconds way{0};  // the first byte takes at most this long to arrive
+  Clock::time_point begin_by;        // the first byte must arrive before this time
+  Clock::time_point deadline;        // the deadline of the request
 };
 
-// The rule that prevents it; nothing: it may start.
+// Returns the rule that forbids starting the attempt, or nullopt if it may start.
 std::optional<Rule> MayBegin(const AttemptFacts& facts, Clock::time_point now);
 
-// The same for a health check, which belongs to no request.
+// Returns the rule that forbids a health check, or nullopt. A health check belongs to no request, so only the
+// rules on the upstream apply.
 std::optional<Rule> MayProbe(const AttemptFacts& facts);
 
 // An earlier attempt of the same request.
 struct EarlierAttempt {
-  bool in_flight = false;     // it has not ended
-  bool may_have_run = false;  // it has ended, and the upstream may have executed it
+  bool in_flight = false;     // the attempt has not ended
+  bool may_have_run = false;  // the attempt has ended, and the upstream may have executed it
 };
 
-// The rule that prevents a retry of a request whose class has this retry safety; nothing: it may be sent.
-// Which upstreams may retry a request with an idempotency key is the planner's decision; until when,
-// MayBegin's.
+// Returns the rule that forbids retrying a request whose class has this retry safety, or nullopt. For a
+// request with an idempotency key the planner decides which upstreams may receive the retry, and MayBegin
+// checks until when they may.
 std::optional<Rule> MayRetry(RetrySafety retry_safety, std::span<const EarlierAttempt> earlier);
 
 }  // namespace postspread::safety
--- a/src/safety/rules.h
+++ b/src/safety/rules.h
@@ -1,5 +1,6 @@
-// The rules on what may be sent, retried, closed or admitted, by name, and how often each applied. The
-// decisions themselves: attempt_rules.h and connection_rules.h. No clock, no I/O.
+// The names of the rules on what the gateway may send, retry, close or admit, and counts of how often each
+// rule applied. The decisions are in attempt_rules.h and connection_rules.h. This module reads no clock and
+// does no I/O.
 #ifndef POSTSPREAD_SAFETY_RULES_H_
 #define POSTSPREAD_SAFETY_RULES_H_
 
@@ -11,15 +12,15 @@
 namespace postspread::safety {
 
 enum class Rule {
-  kClientWaits,        // an attempt starts only while a client waits for its response
-  kUpstreamReady,      // ... only at an upstream that is ready, over a connection to its current process
-  kRepeatWindow,       // ... only where its first byte arrives within the window of its idempotency key
-  kDeadline,           // ... only before its deadline, and with the time that is left
-  kRunsOnce,           // what is not idempotent is retried only where no attempt is in flight or may have run
-  kAnswerBeforeClose,  // a connection is closed only when every request taken from it has its response
-  kAnswerDelivered,    // ... and its client has acknowledged every byte of the responses
-  kDrainInTime,        // a drain leaves no connection idle or with a recent request
-  kAnswerBeforeExit,   // a process ends only when every request has its response
+  kClientWaits,    // an attempt starts only while a client waits for its response
+  kUpstreamReady,  // an attempt starts only at a ready upstream, over a connection to its current process
+  kRepeatWindow,   // an attempt starts only if its first byte arrives while its idempotency key is valid
+  kDeadline,       // an attempt starts only before its request's deadline, with the time that is left
+  kRunsOnce,       // a non-idempotent request is retried only if no attempt is in flight or may have run
+  kResponseBeforeClose,  // a connection is closed only when every request read from it has its response
+  kResponseDelivered,    // a connection is closed only when its client has acknowledged all responses
+  kDrainInTime,          // at the deadline of a drain no connection is idle or has a recent request
+  kAnswerBeforeExit,     // a process exits only when every request has its response
 };
 inline constexpr std::size_t kRules = 9;
 
@@ -30,10 +31,10 @@
   return kNames[static_cast<std::size_t>(rule)];
 }
 
-// Counted by whoever executes what the rules decide.
+// Counts of how often each rule applied. The code that executes the decisions increments them.
 struct RuleCounts {
-  std::array<std::uint64_t, kRules> prevented{};  // what would have violated the rule was not done
-  std::array<std::uint64_t, kRules> violated{};   // what was done violated the rule
+  std::array<std::uint64_t, kRules> prevented{};  // the rule forbade an operation, which was not done
+  std::array<std::uint64_t, kRules> violated{};   // an operation was done that violated the rule
   void Prevented(Rule rule) { ++prevented[static_cast<std::size_t>(rule)]; }
   void Violated(Rule rule) { ++violated[static_cast<std::size_t>(rule)]; }
 };
--- a/tests/safety/rules_test.cpp
+++ b/tests/safety/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on what may be sent, retried and closed, as tables.
+// Tests the rules on what the gateway may send, retry and close.
 #include <catch2/catch.hpp>
 #include <vector>
 
@@ -21,7 +21,9 @@
           .deadline = kNow + milliseconds(200)};
 }
 
-TEST_CASE("an attempt starts only while everything that its decision relied on holds") {
+TEST_CASE(
+    "given an attempt that may start, when its decision loses a condition, then the violated rule is "
+    "returned") {
   CHECK_FALSE(MayBegin(AllowedAttempt(), kNow));
   AttemptFacts facts = AllowedAttempt();
   facts.client_waits = false;
@@ -33,12 +35,12 @@
   facts = AllowedAttempt();
   facts.connection_current = false;
   CHECK(MayBegin(facts, kNow) == Rule::kUpstreamReady);
-  CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(90)) ==
-        Rule::kRepeatWindow);  // it would arrive at its end
+  // The first byte would arrive exactly at the end of the window.
+  CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(90)) == Rule::kRepeatWindow);
   CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(200)) == Rule::kDeadline);
 }
 
-TEST_CASE("what is not idempotent is retried only where no attempt is in flight or may have run") {
+TEST_CASE("a non-idempotent request is retried only if no attempt is in flight or may have run") {
   const std::vector<EarlierAttempt> never_ran{{}, {}};
   const std::vector<EarlierAttempt> in_flight{{}, {.in_flight = true}};
   const std::vector<EarlierAttempt> ran{{.may_have_run = true}, {}};
@@ -51,11 +53,11 @@
 }
 
 TEST_CASE(
-    "a connection is shut down only with nothing pending, and closed of our own accord only between "
+    "a connection is shut down only when nothing is pending, and closed as idle only between "
     "requests") {
   CHECK(MayShutDown({}));
-  CHECK(MayShutDown(
-      {.partial_command = true, .unread = true}));  // what arrives after the end of reading is not taken
+  // Bytes that arrive after the end of reading are not handled.
+  CHECK(MayShutDown({.partial_command = true, .unread = true}));
   CHECK_FALSE(MayShutDown({.pending = 1}));
   CHECK_FALSE(MayShutDown({.unwritten = 1}));
   CHECK(MayCloseIdle({}));
@@ -63,38 +65,40 @@
            {.pending = 1}, {.unwritten = 1}, {.partial_command = true}, {.unread = true}}) {
     CHECK_FALSE(MayCloseIdle(facts));
   }
-  CHECK(RuleViolatedByClose({.pending = 1, .unwritten = 1}) == Rule::kAnswerBeforeClose);
-  CHECK(RuleViolatedByClose({.unacknowledged = 1}) == Rule::kAnswerDelivered);
+  CHECK(RuleViolatedByClose({.pending = 1, .unwritten = 1}) == Rule::kResponseBeforeClose);
+  CHECK(RuleViolatedByClose({.unacknowledged = 1}) == Rule::kResponseDelivered);
   CHECK_FALSE(RuleViolatedByClose({.partial_command = true, .unread = true}));
 }
 
 TEST_CASE(
-    "at its time a connection takes what has arrived and no more, and a partial command has a deadline") {
+    "given a connection with a scheduled close, when its time comes, then it takes only commands that have "
+    "arrived, and a partial command has a deadline") {
   ReadingFacts facts{.close_at = kNow, .commands_until = kNow + milliseconds(500)};
-  CHECK(ReadingAt(facts, kNow - milliseconds(1)) == Reading::kTakesAll);
+  CHECK(ReadingAt(facts, kNow - milliseconds(1)) == Reading::kAcceptAll);
   CHECK(ReadingAt(facts, kNow) == Reading::kStops);
-  facts.bytes_to_take = 100;  // there is no room for them yet: they are waited for, however long
-  CHECK(ReadingAt(facts, kNow) == Reading::kFinishes);
-  CHECK(ReadingAt(facts, kNow + milliseconds(5'000)) == Reading::kFinishes);
+  facts.bytes_to_take = 100;  // there is no capacity to handle them yet, and no limit on how long that takes
+  CHECK(ReadingAt(facts, kNow) == Reading::kFinishArrived);
+  CHECK(ReadingAt(facts, kNow + milliseconds(5'000)) == Reading::kFinishArrived);
   facts.partial_command = true;
-  CHECK(ReadingAt(facts, kNow + milliseconds(499)) == Reading::kFinishes);
+  CHECK(ReadingAt(facts, kNow + milliseconds(499)) == Reading::kFinishArrived);
   CHECK(ReadingAt(facts, kNow + milliseconds(500)) == Reading::kStops);
 }
 
-TEST_CASE("the socket lingers for a client that still reads responses or still sends") {
+TEST_CASE(
+    "given a lingering close, when the client reads or sends, then the socket stays open within limits") {
   const LingerLimits limits{.linger = milliseconds(1'000), .timeout = milliseconds(10'000)};
   const auto may = [&](std::size_t unacknowledged, int since_shutdown, int since_progress) {
     return MayClose({unacknowledged, milliseconds(since_shutdown), milliseconds(since_progress)}, limits);
   };
   CHECK_FALSE(may(0, 999, 999));
   CHECK(may(0, 1'000, 1'000));
-  CHECK_FALSE(may(0, 1'900, 500));  // it sent something half a second ago
-  CHECK(may(0, 2'000, 500));        // a drain has to end, whatever a client goes on to send
+  CHECK_FALSE(may(0, 1'900, 500));  // the client sent bytes half a second ago
+  CHECK(may(0, 2'000, 500));        // a drain must end even if the client continues to send
   CHECK_FALSE(may(7, 20'000, 9'999));
   CHECK(may(7, 20'000, 10'000));
 }
 
-TEST_CASE("at the deadline of a drain no connection is idle or has a recent request") {
+TEST_CASE("given a drain, when its deadline comes, then no connection is idle or has a recent request") {
   CHECK(ViolatesDrainDeadline({.pending = 0, .since_request = milliseconds(3'000)}));
   CHECK(ViolatesDrainDeadline({.pending = 1, .since_request = milliseconds(1'999)}));
   CHECK_FALSE(ViolatesDrainDeadline({.pending = 1, .since_request = milliseconds(2'000)}));
