--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -1,4 +1,4 @@
-// The ttl of a request: every one gets a final answer in time, whatever happens to it.
+// Tests that every request receives exactly one final response in time.
 #include <gtest/gtest.h>
 
 #include "test_gateway.h"
@@ -6,16 +6,16 @@
 namespace postspread::policy {
 namespace {
 
-TEST(Controller, EveryRequestGetsOneAnswerBeforeItsDeadline) {
+TEST(Controller, GivenNoUpstreamWhenTheDeadlinePassesThenTheRequestHasOneFinalResponse) {
   TestGateway gateway;
-  gateway.SetServers({});
+  gateway.SetUpstreams({});
   gateway.AddRequest(1, 1, {.class_name = kNonIdempotent});
   gateway.ReplyToCall(1);
   gateway.Advance(seconds(1));
   EXPECT_EQ(gateway.rejects.size() + gateway.fails.size(), 1U);
 }
 
-TEST(Controller, RequestRetainsItsClassAndItsNumberOfAttemptsOverAReconfiguration) {
+TEST(Controller, GivenAnOpenRequestWhenSettingsChangeThenItRetainsItsClassAndMaximumAttempts) {
   TestGateway gateway;
   gateway.AddRequest(1, 1, {.class_name = kIdempotent});
   gateway.AddRequest(2, 1, {.class_name = kNonIdempotent});
@@ -23,24 +23,24 @@
   gateway.ReplyToCall(2);
   Settings next = DefaultSettings();
   next.classes[0].retry_safety = RetrySafety::kNotIdempotent;
-  next.classes[1] = ClassSettings{};  // a place that has no class
+  next.classes[1] = ClassSettings{};  // this index has no class any more
   next.max_attempts = 1;
   gateway.controller().Reconfigure(next);
-  gateway.FinishAttempt(0, Outcome::kError);  // it came as idempotent, with four attempts
+  gateway.FinishAttempt(0, Outcome::kError);  // the request arrived as idempotent, with up to four attempts
   ASSERT_EQ(gateway.sends.size(), 3U);
-  gateway.FinishAttempt(1, Outcome::kError);  // non-idempotent still, though its class is gone
+  gateway.FinishAttempt(1, Outcome::kError);  // the request is still non-idempotent without its class
   EXPECT_EQ(gateway.sends.size(), 3U);
   EXPECT_EQ(gateway.fails.size(), 1U);
   gateway.AddRequest(3, 1, {.class_name = kIdempotent});
   gateway.ReplyToCall(3);
   ASSERT_EQ(gateway.sends.size(), 4U);
-  gateway.FinishAttempt(3, Outcome::kRejected);  // the new settings allow no second attempt
+  gateway.FinishAttempt(3, Outcome::kRejected);  // the new settings allow only one attempt
   EXPECT_EQ(gateway.sends.size(), 4U);
 }
 
-// Each way in which a request is given up: the final answer comes in the Handle that gives it up, and a
-// client that may come back learns when.
-TEST(FinalAnswer, ComesAtOnceBeyondTheQuotaByTheCount) {
+// The FinalResponse tests cover each reason for ending a request without an upstream's response. The same
+// call of Handle must return the final response, and a client that may retry must receive a retry-after.
+TEST(FinalResponse, GivenATotalBeyondTheQuotaWhenTheCounterRepliesThenTheRequestIsRejectedAtOnce) {
   TestGateway gateway;
   gateway.AddRequest(1, 4);
   gateway.ReplyToCall(40);
@@ -48,16 +48,16 @@
   EXPECT_GT(gateway.rejects[0].retry_after, milliseconds(100));
 }
 
-TEST(FinalAnswer, ComesAtOnceForAClientRetryOfACustomerKnownToBeFull) {
+TEST(FinalResponse, GivenACustomerWithoutQuotaLeftWhenItsClientRetriesThenTheRetryIsRejectedAtOnce) {
   TestGateway gateway;
   gateway.AddRequest(1, 4);
   gateway.ReplyToCall(40);
-  gateway.AddRequest(2, 4, {.retry = true});  // without a counter call
+  gateway.AddRequest(2, 4, {.retry = true});  // the gateway makes no counter call
   ASSERT_EQ(gateway.rejects.size(), 2U);
   EXPECT_GT(gateway.rejects[1].retry_after, milliseconds(100));
 }
 
-TEST(FinalAnswer, ComesAtOnceByTheLocalLimiterWhenTheCounterCallFails) {
+TEST(FinalResponse, GivenAnUnreachableCounterWhenTheLocalLimiterRejectsThenTheRejectionComesAtOnce) {
   TestGateway gateway;
   for (RequestId id = 1; id <= 2; ++id) {
     gateway.AddRequest(id, 4, {.time_left = milliseconds(300)});
@@ -68,7 +68,7 @@
   EXPECT_GT(gateway.rejects[0].retry_after, milliseconds(100));
 }
 
-TEST(FinalAnswer, ComesAtOnceWhenNoFurtherAttemptIsLeftOrAllowed) {
+TEST(FinalResponse, GivenNoAttemptIsLeftOrAllowedWhenAnAttemptFailsThenTheRequestEndsAtOnce) {
   for (const char* class_name : {kIdempotent, kNonIdempotent}) {
     Settings settings = SettingsWithoutQuota();
     settings.max_attempts = 1;
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(FinalAnswer, ComesAtOnceBeyondTheLimitOfAttemptsInFlight) {
+TEST(FinalResponse, GivenACustomerAtItsConcurrencyLimitWhenARequestArrivesThenItIsRejectedAtOnce) {
   Settings settings = SettingsWithoutQuota();
   settings.plans[0].max_concurrent = 2;
   TestGateway gateway(settings);
@@ -90,7 +90,7 @@
   EXPECT_EQ(gateway.rejects.size(), 1U);
 }
 
-TEST(Controller, AnswersInvalidInputAndNeverThrows) {
+TEST(Controller, GivenInvalidEventsWhenARequestArrivesThenItHasOneFinalResponseAndNothingThrows) {
   TestGateway gateway;
   gateway.Handle(OutcomeEvent{});
   gateway.Handle(TimerEvent{99});
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -1,4 +1,4 @@
-// Further attempts: retries, hedged requests, and what must not be sent again.
+// Tests retries and hedged requests, and that non-idempotent requests run at most once.
 #include <gtest/gtest.h>
 
 #include "test_gateway.h"
@@ -6,12 +6,12 @@
 namespace postspread::policy {
 namespace {
 
-// It is neither hedged nor moved, and not given up for its server's silence.
-TEST(Retry, NonIdempotentRequestStaysWithAStuckServer) {
+// The gateway must neither hedge nor migrate the request, nor end it because its upstream doesn't respond.
+TEST(Retry, GivenANonIdempotentRequestWhenItsUpstreamIsStuckThenTheAttemptContinues) {
   for (const bool hedging : {true, false}) {
     Settings settings = SettingsWithoutQuota();
     settings.hedging_allowed = hedging;
-    settings.classes[1].key_ttl = seconds(60);  // has no meaning without a key
+    settings.classes[1].key_ttl = seconds(60);  // the ttl has no effect without a key
     TestGateway gateway(settings);
     gateway.AddRequest(1, 1, {.class_name = kNonIdempotent, .time_left = seconds(2)});
     gateway.Advance(milliseconds(1'500));
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(Retry, NonIdempotentRequestThatMayHaveRunIsFailed) {
+TEST(Retry, GivenANonIdempotentRequestThatMayHaveRunWhenItsAttemptEndsThenItFails) {
   TestGateway gateway;
   gateway.AddRequest(1, 1, {.class_name = kNonIdempotent});
   gateway.ReplyToCall(1);
@@ -34,7 +34,7 @@
   EXPECT_EQ(gateway.fails.size(), 1U);
 }
 
-TEST(Retry, NonIdempotentRequestThatNeverRanIsRetriedElsewhere) {
+TEST(Retry, GivenANonIdempotentRequestThatNeverRanWhenItsAttemptEndsThenAnotherUpstreamReceivesTheRetry) {
   TestGateway gateway;
   gateway.AddRequest(1, 1, {.class_name = kNonIdempotent});
   gateway.ReplyToCall(1);
@@ -43,13 +43,13 @@
   EXPECT_NE(gateway.sends[0].server, gateway.sends[1].server);
 }
 
-// Hedged requests would lengthen the queue that they come from.
-TEST(Retry, NoHedgedRequestsFromAQueue) {
+// Hedged requests would lengthen the queue that delays them.
+TEST(Retry, GivenAQueueWhenAttemptsAreLateThenNoRequestIsHedged) {
   for (const bool queue : {false, true}) {
     Settings settings = SettingsWithoutQuota();
     settings.hedging_allowed = true;
     TestGateway gateway(settings);
-    for (RequestId id = 1; id <= 200; ++id) {  // service time without queueing of 50 ms
+    for (RequestId id = 1; id <= 200; ++id) {  // the service time without queueing is 50 ms
       gateway.AddRequest(id, 0);
       gateway.Advance(milliseconds(50));
       gateway.FinishAttempt(gateway.sends.size() - 1, Outcome::kOk);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: what a fleet of gateways together sends to servers that have just started.
+// Tests the total traffic that all gateways send to upstreams that have just started.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,22 +13,22 @@
 namespace postspread::policy {
 namespace {
 
-// Servers s0, s1, ... in both zones by turns, from `first` on; those before `started_end` have started at
-// `started`.
-std::vector<ServerInfo> Servers(int first, int count, int started_end, TimePoint started) {
-  std::vector<ServerInfo> servers;
+// Returns the upstreams s0, s1, ... from index `first` to `count` - 1, in alternating zones. Those with an
+// index below `started_end` started at `started`.
+std::vector<ServerInfo> Endpoints(int first, int count, int started_end, TimePoint started) {
+  std::vector<ServerInfo> endpoints;
   for (int i = first; i < count; ++i) {
-    ServerInfo server;
-    server.id = "s" + std::to_string(i);
-    server.zone = i % 2 == 0 ? "a" : "b";
-    if (i < started_end) server.started = started;
-    servers.push_back(server);
+    ServerInfo endpoint;
+    endpoint.id = "s" + std::to_string(i);
+    endpoint.zone = i % 2 == 0 ? "a" : "b";
+    if (i < started_end) endpoint.started = started;
+    endpoints.push_back(endpoint);
   }
-  return servers;
+  return endpoints;
 }
 
-TEST(SlowStart, ServerGetsItsPartFromAnyNumberOfGateways) {
-  constexpr int kServers = 20;
+TEST(SlowStart, GivenAnUpstreamInSlowStartWhenAnyNumberOfGatewaysSendsThenItReceivesItsFraction) {
+  constexpr int kUpstreams = 20;
   constexpr int kRequests = 12000;
   for (const int gateways : {3, 30, 600}) {
     Settings settings = SettingsWithoutQuota();
@@ -38,14 +38,14 @@
     std::size_t at_started = 0;
     for (int i = 0; i < gateways; ++i) {
       TestGateway gateway(settings, seconds(1000), static_cast<std::uint64_t>(i));
-      gateway.SetEndpointList(Servers(0, kServers, 1, gateway.now));
+      gateway.SetEndpointList(Endpoints(0, kUpstreams, 1, gateway.now));
       for (int n = 0; n < kRequests / gateways; ++n) {
         gateway.AddRequest(static_cast<RequestId>(n) + 1, 1);
         if (gateway.sends.back().server == "s0") ++at_started;
         gateway.FinishAttempt(gateway.sends.size() - 1, Outcome::kOk);
       }
     }
-    const double even = static_cast<double>(kRequests) / kServers;
+    const double even = static_cast<double>(kRequests) / kUpstreams;
     EXPECT_LT(static_cast<double>(at_started), 0.2 * even * 1.5) << gateways;
     EXPECT_GT(static_cast<double>(at_started), 0.2 * even * 0.6) << gateways;
   }
@@ -58,11 +58,11 @@
   Duration slow_start;
 };
 
-constexpr int kRampServers = 12;
-constexpr double kCapacity = 15;  // requests a second of one server
-constexpr double kLoad = 0.9;     // of what all servers could do
+constexpr int kUpstreamsInFleet = 12;
+constexpr double kCapacity = 15;  // the capacity of one upstream in requests per second
+constexpr double kLoad = 0.9;     // the load as a fraction of the capacity of all upstreams
 
-Settings RampSettings(const OverloadRule& rule, int gateways) {
+Settings SlowStartSettings(const OverloadRule& rule, int gateways) {
   Settings settings = SettingsWithoutQuota();
   settings.group_size = gateways;
   settings.has_counter = false;
@@ -73,26 +73,27 @@
   return settings;
 }
 
-// When attempts reach s0 during its slow start. Traffic is uneven over the gateways, one in ten attempts
-// fails and is sent again, half of the gateways have just started and know nothing, and each hears of the
-// start at a time of its own.
-std::vector<TimePoint> AttemptsDuringRamp(const OverloadRule& rule, int gateways, int started_servers) {
+// Returns the times at which attempts reach s0 during its slow start. The traffic is uneven over the
+// gateways. One in ten attempts fails and is retried. Half of the gateways have just started without any
+// statistics. Each gateway learns of the new upstreams at a different time.
+std::vector<TimePoint> AttemptsDuringSlowStart(const OverloadRule& rule, int gateways,
+                                               int started_upstreams) {
   const TimePoint start = seconds(1000);
   const TimePoint end = start + rule.slow_start;
-  std::mt19937 random(static_cast<unsigned>(gateways) * 7 + static_cast<unsigned>(started_servers));
+  std::mt19937 random(static_cast<unsigned>(gateways) * 7 + static_cast<unsigned>(started_upstreams));
   std::vector<double> weights;
   weights.reserve(static_cast<std::size_t>(gateways));
   for (int i = 0; i < gateways; ++i) weights.push_back(1.0 + 3.0 * (i % 5 == 0));
   const double total_weight = std::accumulate(weights.begin(), weights.end(), 0.0);
-  Settings settings = RampSettings(rule, gateways);
+  Settings settings = SlowStartSettings(rule, gateways);
   std::vector<TimePoint> attempts;
   for (int rank = 0; rank < gateways; ++rank) {
     settings.rank = rank;
     const bool just_started = rank % 2 == 0;
     TestGateway gateway(settings, just_started ? start : start - seconds(5),
                         static_cast<std::uint64_t>(rank + 1));
-    gateway.SetEndpointList(Servers(started_servers, kRampServers, 0, start));
-    std::exponential_distribution<double> gap_s(kLoad * kRampServers * kCapacity *
+    gateway.SetEndpointList(Endpoints(started_upstreams, kUpstreamsInFleet, 0, start));
+    std::exponential_distribution<double> gap_s(kLoad * kUpstreamsInFleet * kCapacity *
                                                 weights[static_cast<std::size_t>(rank)] / total_weight);
     const TimePoint learns_at = start + milliseconds(random() % 2'000);
     bool knows_start = false;
@@ -101,7 +102,7 @@
       gateway.Advance(Duration(static_cast<std::int64_t>(1e6 * gap_s(random))));
       if (gateway.now > end) break;
       if (!knows_start && gateway.now >= learns_at) {
-        gateway.SetEndpointList(Servers(0, kRampServers, started_servers, start));
+        gateway.SetEndpointList(Endpoints(0, kUpstreamsInFleet, started_upstreams, start));
         knows_start = true;
       }
       std::size_t next = gateway.sends.size();
@@ -117,8 +118,8 @@
   return attempts;
 }
 
-// In every window the sum over the fleet may exceed what overloads the server only by what chance explains:
-// twice the root of it, and 2.
+// Checks that the total traffic of every window stays below the overload limit of the upstream, plus a
+// tolerance for random variation of twice the root of the limit, plus 2.
 void ExpectNoWindowOverloads(const std::vector<TimePoint>& attempts, const OverloadRule& rule) {
   const TimePoint start = seconds(1000);
   std::size_t last = 0;
@@ -132,15 +133,15 @@
   }
 }
 
-TEST(SlowStart, NoWindowOfTheRampOverloadsAServerFromAnyNumberOfGateways) {
+TEST(SlowStart, GivenUpstreamsInSlowStartWhenAnyNumberOfGatewaysSendsThenNoWindowOverloadsOne) {
   for (const OverloadRule& rule :
        {OverloadRule{4, 0.23, seconds(2), seconds(15)}, OverloadRule{2.5, 0.16, seconds(3), seconds(7)},
         OverloadRule{3, 0.15, seconds(1), seconds(18)}, OverloadRule{2, 0.4, seconds(5), seconds(5)}}) {
     for (const int gateways : {2, 3, 20, 30, 300}) {
-      for (const int started_servers : {1, 6}) {
-        SCOPED_TRACE(testing::Message() << gateways << " gateways, " << started_servers
-                                        << " servers started, multiple " << rule.multiple);
-        const std::vector<TimePoint> attempts = AttemptsDuringRamp(rule, gateways, started_servers);
+      for (const int started_upstreams : {1, 6}) {
+        SCOPED_TRACE(testing::Message() << gateways << " gateways, " << started_upstreams
+                                        << " upstreams started, multiple " << rule.multiple);
+        const std::vector<TimePoint> attempts = AttemptsDuringSlowStart(rule, gateways, started_upstreams);
         EXPECT_FALSE(attempts.empty());
         ASSERT_NO_FATAL_FAILURE(ExpectNoWindowOverloads(attempts, rule));
       }
@@ -148,17 +149,17 @@
   }
 }
 
-// What all servers in slow start can surely do is sent, and the rest rejected.
-TEST(SlowStart, FleetThatHasAllJustStartedIsNotOverloaded) {
-  constexpr int kServers = 20;
+// The gateway forwards what upstreams in slow start can surely serve, and rejects the rest.
+TEST(SlowStart, GivenAllUpstreamsInSlowStartWhenLoadIsFullThenTheyAreNotOverloaded) {
+  constexpr int kUpstreams = 20;
   constexpr std::size_t kRequests = 2000;
   Settings settings = SettingsWithoutQuota();
   settings.has_counter = false;
   settings.overload_multiple = 3;
   TestGateway gateway(settings);
-  std::vector<ServerInfo> servers = Servers(0, kServers, kServers, gateway.now);
-  for (ServerInfo& server : servers) server.zone = "a";
-  gateway.SetEndpointList(servers);
+  std::vector<ServerInfo> endpoints = Endpoints(0, kUpstreams, kUpstreams, gateway.now);
+  for (ServerInfo& endpoint : endpoints) endpoint.zone = "a";
+  gateway.SetEndpointList(endpoints);
   for (RequestId id = 1; id <= kRequests; ++id) {
     const std::size_t before = gateway.sends.size();
     gateway.AddRequest(id, 1);
--- a/tests/policy/test_gateway.cpp
+++ b/tests/policy/test_gateway.cpp
@@ -62,24 +62,24 @@
 
 TestGateway::TestGateway(Settings settings, TimePoint start, std::uint64_t seed)
     : now(start), controller_(std::move(settings), seed, start) {
-  SetServers({{"s1", "a"}, {"s2", "b"}});
+  SetUpstreams({{"s1", "a"}, {"s2", "b"}});
 }
 
-void TestGateway::SetServers(const std::vector<TestServer>& servers, ServerState state) {
+void TestGateway::SetUpstreams(const std::vector<TestUpstream>& upstreams, ServerState state) {
   std::vector<ServerInfo> list;
-  for (const TestServer& server : servers) {
+  for (const TestUpstream& upstream : upstreams) {
     ServerInfo info;
-    info.id = server.id;
-    info.zone = server.zone;
+    info.id = upstream.id;
+    info.zone = upstream.zone;
     info.state = state;
     list.push_back(info);
   }
   SetEndpointList(list);
 }
 
-void TestGateway::SetEndpointList(const std::vector<ServerInfo>& servers) {
+void TestGateway::SetEndpointList(const std::vector<ServerInfo>& endpoints) {
   Handle(EndpointListEvent{EndpointListKind::kComplete, 1,
-                           std::make_shared<const std::vector<ServerInfo>>(servers)});
+                           std::make_shared<const std::vector<ServerInfo>>(endpoints)});
 }
 
 void TestGateway::Handle(const Event& event) {
--- a/tests/policy/test_gateway.h
+++ b/tests/policy/test_gateway.h
@@ -1,4 +1,5 @@
-// One gateway's Controller under test: hands it events, delivers its timers, and records its actions by kind.
+// A test fixture around one gateway's Controller: passes events to it, delivers its timers, and records its
+// actions by kind.
 #ifndef POSTSPREAD_TESTS_POLICY_TEST_GATEWAY_H_
 #define POSTSPREAD_TESTS_POLICY_TEST_GATEWAY_H_
 
@@ -17,16 +18,17 @@
 
 inline constexpr const char* kIdempotent = "idempotent";
 inline constexpr const char* kNonIdempotent = "non-idempotent";
-inline constexpr const char* kKeyed = "keyed";  // by zone
+inline constexpr const char* kKeyed = "keyed";  // its idempotency keys are valid within a zone
 
-// One plan of 10 units a second with a burst of 10, one class of each retry safety, and a counter.
+// Returns settings with one plan of 10 units per second and a burst of 10, one class of each retry safety,
+// and a counter.
 Settings DefaultSettings();
 
-// The default settings with no quota, or with one that no test reaches.
+// Return the default settings without a quota, or with a quota that no test reaches.
 Settings SettingsWithoutQuota();
 Settings SettingsWithAmpleQuota();
 
-struct TestServer {
+struct TestUpstream {
   std::string id;
   std::string zone;
 };
@@ -46,29 +48,29 @@
 
 class TestGateway {
  public:
-  // With two servers, s1 in zone a and s2 in zone b; the gateway is in zone a.
+  // The gateway is in zone a. Its endpoint list has two upstreams, s1 in zone a and s2 in zone b.
   explicit TestGateway(Settings settings = DefaultSettings(), TimePoint start = seconds(1000),
                        std::uint64_t seed = 1);
 
   // Replaces the endpoint list.
-  void SetServers(const std::vector<TestServer>& servers, ServerState state = ServerState::kUp);
-  void SetEndpointList(const std::vector<ServerInfo>& servers);
+  void SetUpstreams(const std::vector<TestUpstream>& upstreams, ServerState state = ServerState::kUp);
+  void SetEndpointList(const std::vector<ServerInfo>& endpoints);
 
   void Handle(const Event& event);
-  // A request of customer "c" of the plan.
+  // Passes a request of customer "c", whose plan is the only one.
   void AddRequest(RequestId id, double units, const RequestOptions& options = {});
-  // Replies to the oldest counter call without a reply, after `elapsed`.
+  // Replies to the oldest open counter call. The reply says that the call took `elapsed`.
   void ReplyToCall(double total, CounterResult result = CounterResult::kOk);
   void ReplyToCallAfter(Duration elapsed, double total, CounterResult result = CounterResult::kOk);
-  // Ends the attempt that a recorded Send has started.
+  // Ends the attempt that the recorded Send at index `send` has started.
   void FinishAttempt(std::size_t send, Outcome outcome, const AttemptResult& result = {});
-  // Ends all recorded Sends well, and forgets them.
+  // Ends the attempts of all recorded Sends successfully, and removes the records.
   void FinishAllSends();
-  // Lets time pass and delivers timers as they fall due.
+  // Advances the time and delivers timers when they are due.
   void Advance(Duration time);
 
   [[nodiscard]] bool HasOpenCall() const { return replied_calls < counter_calls.size(); }
-  // The sum over all counter calls.
+  // Returns the sum of the units of all counter calls.
   [[nodiscard]] double CalledUnits() const;
   Controller& controller() { return controller_; }
 
--- a/tests/policy/upstream_selector_test.cpp
+++ b/tests/policy/upstream_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which server an attempt goes to.
+// Tests the selection of the upstream for an attempt.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,9 +8,9 @@
 namespace postspread::policy {
 namespace {
 
-TEST(UpstreamSelector, KeyedRequestStaysWithinTheScopeOfItsKey) {
+TEST(UpstreamSelector, GivenAKeyedRequestThatMayHaveRunWhenItIsRetriedThenTheUpstreamIsInItsKeyScope) {
   TestGateway gateway;
-  gateway.SetServers({{"s1", "a"}, {"s2", "b"}, {"s3", "a"}, {"s4", "b"}});
+  gateway.SetUpstreams({{"s1", "a"}, {"s2", "b"}, {"s3", "a"}, {"s4", "b"}});
   for (RequestId id = 1; id <= 8; ++id) {
     gateway.AddRequest(id, 0.1, {.class_name = kKeyed});
     gateway.ReplyToCall(0.1 * static_cast<double>(id));
@@ -24,18 +24,18 @@
   EXPECT_TRUE(gateway.rejects.empty());
 }
 
-TEST(UpstreamSelector, DrainingServerGetsNothing) {
+TEST(UpstreamSelector, GivenOnlyDrainingUpstreamsWhenARequestArrivesThenNothingIsSent) {
   TestGateway gateway;
-  gateway.SetServers({{"s1", "a"}, {"s2", "b"}}, ServerState::kDraining);
+  gateway.SetUpstreams({{"s1", "a"}, {"s2", "b"}}, ServerState::kDraining);
   gateway.AddRequest(1, 1);
   gateway.ReplyToCall(1);
   gateway.Advance(seconds(2));
   EXPECT_TRUE(gateway.sends.empty());
 }
 
-TEST(UpstreamSelector, ServerWithoutALoadReportIsNotTakenForIdle) {
+TEST(UpstreamSelector, GivenAnUpstreamWithoutALoadReportWhenRequestsArriveThenItIsNotConsideredIdle) {
   TestGateway gateway(SettingsWithoutQuota());
-  gateway.SetServers({{"s1", "a"}});
+  gateway.SetUpstreams({{"s1", "a"}});
   RequestId id = 0;
   const auto serve = [&](double outstanding) {
     gateway.AddRequest(++id, 1);
@@ -50,34 +50,35 @@
     return event.server;
   };
   for (int i = 0; i < 200; ++i) serve(20);
-  gateway.SetServers({{"s1", "a"}, {"s2", "a"}});
+  gateway.SetUpstreams({{"s1", "a"}, {"s2", "a"}});
   serve(2);
   int reporting = 0;
   for (int i = 0; i < 100; ++i) reporting += serve(2) == "s1" ? 1 : 0;
   EXPECT_GT(reporting, 80);
 }
 
-// Neither a server's own latency nor its zone's may keep it idle for good. The parameter is its zone.
-class OnceSlowServer : public testing::TestWithParam<const char*> {};
-INSTANTIATE_TEST_SUITE_P(Zones, OnceSlowServer, testing::Values("a", "b"));
+// Guards against an upstream that stays idle for good because its own former latency or that of its zone
+// still counts. The parameter is the zone of the upstream.
+class FormerlySlowUpstream : public testing::TestWithParam<const char*> {};
+INSTANTIATE_TEST_SUITE_P(Zones, FormerlySlowUpstream, testing::Values("a", "b"));
 
-TEST_P(OnceSlowServer, IsTriedAgainAfterAWhile) {
+TEST_P(FormerlySlowUpstream, GivenAnUpstreamThatWasSlowWhenItsLatencyHasFadedThenItReceivesAttemptsAgain) {
   Settings settings = SettingsWithoutQuota();
   settings.classes[0].latency_objective = seconds(10);
   TestGateway gateway(settings);
-  gateway.SetServers({{"s1", GetParam()}, {"s2", "a"}});
+  gateway.SetUpstreams({{"s1", GetParam()}, {"s2", "a"}});
   RequestId id = 0;
-  // Serves so many requests; returns how many of them went to s1, which takes `slow`.
+  // Serves `requests` requests, and returns how many of them went to s1, whose latency is `slow`.
   const auto serve = [&gateway, &id](int requests, Duration slow) {
     int at_slow = 0;
     for (int i = 0; i < requests; ++i) {
       gateway.AddRequest(++id, 0, {.time_left = seconds(9)});
-      const std::string server = gateway.sends.back().server;
-      const Duration elapsed = server == "s1" ? slow : Duration(milliseconds(50));
-      at_slow += server == "s1" ? 1 : 0;
+      const std::string upstream = gateway.sends.back().server;
+      const Duration elapsed = upstream == "s1" ? slow : Duration(milliseconds(50));
+      at_slow += upstream == "s1" ? 1 : 0;
       gateway.Advance(elapsed);
       gateway.Handle(OutcomeEvent{.id = id,
-                                  .server = server,
+                                  .server = upstream,
                                   .outcome = Outcome::kOk,
                                   .elapsed = elapsed,
                                   .final = true,
@@ -87,7 +88,7 @@
   };
   EXPECT_GE(serve(40, milliseconds(700)), 1);
   EXPECT_LE(serve(10, milliseconds(700)), 1);
-  serve(80, milliseconds(50));  // some four seconds, in which the latency of s1 fades
+  serve(80, milliseconds(50));  // this takes about four seconds, in which the latency of s1 fades
   EXPECT_GE(serve(40, milliseconds(50)), 5);
 }
 
