--- a/tests/idempotency/random_run_test.cpp
+++ b/tests/idempotency/random_run_test.cpp
@@ -1,4 +1,5 @@
-// Random runs of a cluster: the promises hold under every seed, and the runs are able to break them.
+// Random runs of a simulated cluster: the promises in idempotency/replica.h hold under every seed, and the
+// runs detect violations when sticky placement is switched off.
 #include <catch2/catch.hpp>
 #include <ostream>
 #include <string>
@@ -9,12 +10,13 @@
 namespace {
 
 struct Violations {
-  int executed_twice = 0, wrongly_replied = 0, conflicting_replies = 0;
+  int executed_twice = 0, not_answered_once = 0, conflicting_responses = 0;
   bool operator==(const Violations&) const = default;
 };
 std::ostream& operator<<(std::ostream& out, const Violations& violations) {
-  return out << violations.executed_twice << " executed twice, " << violations.wrongly_replied
-             << " wrongly replied, " << violations.conflicting_replies << " conflicting";
+  return out << violations.executed_twice << " executed twice, " << violations.not_answered_once
+             << " not answered exactly once in time, " << violations.conflicting_responses
+             << " conflicting responses";
 }
 
 struct RunResult {
@@ -24,45 +26,46 @@
 
 struct RunOptions {
   std::uint64_t seed = 1;
-  Faults faults;
+  NetworkFaults faults;
   bool honors_placement = true;
   int gateways = 3;
   std::size_t replicas = 2;  // of each key
 };
 
 UpstreamBehavior RandomBehavior(Cluster& cluster) {
-  const double fate = cluster.RandomFraction();
+  const double outcome = cluster.RandomFraction();
   return {.service_time = Duration(static_cast<std::int64_t>(cluster.RandomFraction() * 1.5e6)),
-          .executes = fate > 0.1,
-          .replies = fate > 0.2};
+          .executes = outcome > 0.1,
+          .responds = outcome > 0.2};
 }
 
-// Sends each of 200 keys up to five times through random gateways, half of the repeats within a second and
-// half within the keys' lifetime. Returns the number of requests.
+// Schedules one to five requests for each of 200 keys through random gateways, about half of them within a
+// second and the others within 30 s. Returns the number of requests.
 int ScheduleRequests(Cluster& cluster, int gateways) {
   constexpr int kKeys = 200;
-  constexpr double kFirstWithin = 20e6, kSoon = 1e6, kLate = 30e6;  // us
+  constexpr double kFirstRequestSpan = 20e6, kShortRepeatSpan = 1e6, kLongRepeatSpan = 30e6;  // us
   const TimePoint begin = cluster.now();
-  const auto random_span = [&cluster](double most) {
-    return Duration(static_cast<std::int64_t>(cluster.RandomFraction() * most));
+  const auto random_span = [&cluster](double max_microseconds) {
+    return Duration(static_cast<std::int64_t>(cluster.RandomFraction() * max_microseconds));
   };
   int requests = 0;
   for (int key = 0; key < kKeys; ++key) {
-    const TimePoint first = begin + random_span(kFirstWithin);
-    const int attempts = 1 + static_cast<int>(cluster.random()() % 5);
-    for (int attempt = 0; attempt < attempts; ++attempt, ++requests) {
-      const double spread = cluster.RandomFraction() < 0.5 ? kSoon : kLate;
+    const TimePoint first = begin + random_span(kFirstRequestSpan);
+    const int requests_of_key = 1 + static_cast<int>(cluster.random()() % 5);
+    for (int i = 0; i < requests_of_key; ++i, ++requests) {
+      const double spread = cluster.RandomFraction() < 0.5 ? kShortRepeatSpan : kLongRepeatSpan;
       const TimePoint at = first + random_span(spread);
       const int rank = static_cast<int>(cluster.random()() % static_cast<unsigned>(gateways));
       const Duration timeout = seconds(1 + key % 5);
-      cluster.At(at,
-                 [&cluster, key, rank, timeout] { cluster.Send(rank, "k" + std::to_string(key), timeout); });
+      cluster.ScheduleAt(
+          at, [&cluster, key, rank, timeout] { cluster.Send(rank, "k" + std::to_string(key), timeout); });
     }
   }
   return requests;
 }
 
-// One gateway crashes and restarts, upstreams reject and fail, and the network has the faults given.
+// Runs a cluster for 70 s in which one gateway crashes and restarts, upstreams reject requests or lose their
+// responses, and the network has the given faults.
 RunResult RandomRun(const RunOptions& options) {
   Limits limits;
   limits.datagrams_per_second = options.seed % 2 == 0 ? 2'000 : 40;
@@ -72,15 +75,16 @@
   cluster.upstream_behavior = [&](const KeyId&, std::int64_t) { return RandomBehavior(cluster); };
   const TimePoint begin = cluster.now();
   const int requests = ScheduleRequests(cluster, options.gateways);
-  const int victim = static_cast<int>(options.seed) % options.gateways;
-  const Duration restart = milliseconds(5'300 + 2'000 * (options.seed % 3));
-  cluster.At(begin + seconds(5), [&cluster, victim] { cluster.Kill(victim); });
-  cluster.At(begin + restart, [&cluster, victim] { cluster.Start(victim); });
-  cluster.Run(seconds(70));
+  const int crashed = static_cast<int>(options.seed) % options.gateways;
+  const Duration restart_at = milliseconds(5'300 + 2'000 * (options.seed % 3));
+  cluster.ScheduleAt(begin + seconds(5), [&cluster, crashed] { cluster.Kill(crashed); });
+  cluster.ScheduleAt(begin + restart_at, [&cluster, crashed] { cluster.Start(crashed); });
+  cluster.RunFor(seconds(70));
   const RequestHistory& history = cluster.history();
-  return {.violations = {history.executed_twice(), history.wrongly_replied(), history.conflicting_replies()},
-          .requests = requests,
-          .completed = history.CountReplies(ReplyKind::kCompleted)};
+  return {
+      .violations = {history.executed_twice(), history.not_answered_once(), history.conflicting_responses()},
+      .requests = requests,
+      .completed = history.CountResponses(ResponseKind::kCompleted)};
 }
 
 void CheckPromises(const RunOptions& options) {
@@ -90,15 +94,17 @@
   CHECK(result.completed > result.requests / 2);
 }
 
-TEST_CASE("random runs: no key is executed twice, each request has one answer in time") {
-  const Faults faults{
+TEST_CASE(
+    "under random faults no key is executed twice, and each request receives one response by its deadline") {
+  const NetworkFaults faults{
       .loss = 0.2, .duplication = 0.1, .min_delay = milliseconds(1), .max_delay = milliseconds(60)};
-  // Failed once: a third gateway's newer word about a holder was taken for stale.
+  // Seed 1662 failed once because a third gateway's newer report about a holder was treated as stale.
   CheckPromises({.seed = 1662, .faults = faults});
   for (std::uint64_t seed = 1; seed <= 60; ++seed) CheckPromises({.seed = seed, .faults = faults});
 }
 
-TEST_CASE("two, four and five gateways, with two replicas of a key or more, keep the same promises") {
+TEST_CASE(
+    "groups of two, four and five gateways with two or five replicas of each key keep the same promises") {
   for (const int gateways : {2, 4, 5}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       CheckPromises({.seed = seed,
@@ -109,7 +115,7 @@
   }
 }
 
-TEST_CASE("random runs detect violations: without sticky placement keys are executed twice") {
+TEST_CASE("random runs without sticky placement detect keys that are executed twice") {
   int executed_twice = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const RunOptions options{.seed = seed, .faults = {.loss = 0.2}, .honors_placement = false};
--- a/tests/idempotency/request_history.cpp
+++ b/tests/idempotency/request_history.cpp
@@ -9,13 +9,13 @@
   requests_[waiter] = {key, deadline};
 }
 
-void RequestHistory::OnReply(WaiterId waiter, ReplyKind kind, const std::string& value, TimePoint now) {
-  replies_[waiter].push_back({kind, value, now, requests_.at(waiter).deadline});
+void RequestHistory::OnResponse(WaiterId waiter, ResponseKind kind, const std::string& value, TimePoint now) {
+  responses_[waiter].push_back({kind, value, now, requests_.at(waiter).deadline});
 }
 
-std::optional<Reply> RequestHistory::ReplyTo(WaiterId waiter) const {
-  const auto found = replies_.find(waiter);
-  if (found == replies_.end()) return std::nullopt;
+std::optional<ClientResponse> RequestHistory::ResponseTo(WaiterId waiter) const {
+  const auto found = responses_.find(waiter);
+  if (found == responses_.end()) return std::nullopt;
   return found->second.front();
 }
 
@@ -24,10 +24,10 @@
   return found == executions_.end() ? 0 : found->second;
 }
 
-int RequestHistory::CountReplies(ReplyKind kind) const {
+int RequestHistory::CountResponses(ResponseKind kind) const {
   int count = 0;
-  for (const auto& [waiter, replies] : replies_) {
-    for (const Reply& reply : replies) count += reply.kind == kind ? 1 : 0;
+  for (const auto& [waiter, responses] : responses_) {
+    for (const ClientResponse& response : responses) count += response.kind == kind ? 1 : 0;
   }
   return count;
 }
@@ -37,25 +37,25 @@
                                         [](const auto& execution) { return execution.second > 1; }));
 }
 
-int RequestHistory::wrongly_replied() const {
+int RequestHistory::not_answered_once() const {
   int count = 0;
   for (const auto& [waiter, request] : requests_) {
-    const auto found = replies_.find(waiter);
-    const bool correct = found != replies_.end() && found->second.size() == 1 &&
+    const auto found = responses_.find(waiter);
+    const bool correct = found != responses_.end() && found->second.size() == 1 &&
                          found->second[0].at <= request.deadline + std::chrono::milliseconds(1);
     count += correct ? 0 : 1;
   }
   return count;
 }
 
-int RequestHistory::conflicting_replies() const {
+int RequestHistory::conflicting_responses() const {
   std::map<KeyId, std::string> values;
   int count = 0;
-  for (const auto& [waiter, replies] : replies_) {
-    for (const Reply& reply : replies) {
-      if (reply.kind != ReplyKind::kCompleted) continue;
-      const std::string& first = values.emplace(KeyOf(waiter), reply.value).first->second;
-      count += first != reply.value ? 1 : 0;
+  for (const auto& [waiter, responses] : responses_) {
+    for (const ClientResponse& response : responses) {
+      if (response.kind != ResponseKind::kCompleted) continue;
+      const std::string& first = values.emplace(KeyOf(waiter), response.value).first->second;
+      count += first != response.value ? 1 : 0;
     }
   }
   return count;
--- a/tests/idempotency/request_history.h
+++ b/tests/idempotency/request_history.h
@@ -1,5 +1,5 @@
-// The record of a simulated run, kept apart from the replicas: what was executed, and which replies each
-// request got.
+// Records what upstreams executed and which responses each request received in a simulated run, independently
+// of the replicas under test.
 #ifndef POSTSPREAD_TESTS_IDEMPOTENCY_REQUEST_HISTORY_H_
 #define POSTSPREAD_TESTS_IDEMPOTENCY_REQUEST_HISTORY_H_
 
@@ -13,40 +13,41 @@
 
 namespace postspread::idempotency::testing {
 
-enum class ReplyKind {
+enum class ResponseKind {
   kCompleted,
   kRejected,
   kUnknownOutcome,
   kFingerprintMismatch,
-  kAnswerDropped,
-  kNone,  // the client or its gateway has gone
+  kResponseDropped,
+  kNone,  // no response: the client disconnected or its gateway crashed
 };
 
-struct Reply {
-  ReplyKind kind = ReplyKind::kCompleted;
+struct ClientResponse {
+  ResponseKind kind = ResponseKind::kCompleted;
   std::string value;
   TimePoint at{0}, deadline{0};
 };
 
+// Owned by the Cluster. Its counters report violations of the promises in idempotency/replica.h.
 class RequestHistory {
  public:
   void OnRequest(WaiterId waiter, const KeyId& key, TimePoint deadline);
-  void OnReply(WaiterId waiter, ReplyKind kind, const std::string& value, TimePoint now);
-  // Returns how often the key's work has been executed so far, this time included.
+  void OnResponse(WaiterId waiter, ResponseKind kind, const std::string& value, TimePoint now);
+  // Returns how often the key has been executed so far, this execution included.
   int OnExecution(const KeyId& key) { return ++executions_[key]; }
 
   [[nodiscard]] const KeyId& KeyOf(WaiterId waiter) const { return requests_.at(waiter).key; }
-  [[nodiscard]] bool HasReply(WaiterId waiter) const { return replies_.contains(waiter); }
-  // The first reply; nothing: none yet.
-  [[nodiscard]] std::optional<Reply> ReplyTo(WaiterId waiter) const;
+  [[nodiscard]] bool HasResponse(WaiterId waiter) const { return responses_.contains(waiter); }
+  // Returns the first response, or nothing while there is none.
+  [[nodiscard]] std::optional<ClientResponse> ResponseTo(WaiterId waiter) const;
   [[nodiscard]] int Executions(const KeyId& key) const;
-  [[nodiscard]] int CountReplies(ReplyKind kind) const;
+  [[nodiscard]] int CountResponses(ResponseKind kind) const;
 
-  // Violations: keys executed more than once, requests without exactly one reply in time, and replies whose
-  // value differs from another one under the same key.
+  // Return the number of keys that were executed more than once, of requests that did not receive exactly one
+  // response by their deadline, and of responses whose value differs from the first one under the same key.
   [[nodiscard]] int executed_twice() const;
-  [[nodiscard]] int wrongly_replied() const;
-  [[nodiscard]] int conflicting_replies() const;
+  [[nodiscard]] int not_answered_once() const;
+  [[nodiscard]] int conflicting_responses() const;
 
  private:
   struct RequestInfo {
@@ -54,7 +55,7 @@
     TimePoint deadline{0};
   };
   std::map<WaiterId, RequestInfo> requests_;
-  std::map<WaiterId, std::vector<Reply>> replies_;
+  std::map<WaiterId, std::vector<ClientResponse>> responses_;
   std::map<KeyId, int> executions_;
 };
 
