--- a/tests/idempotency/key_state_test.cpp
+++ b/tests/idempotency/key_state_test.cpp
@@ -1,4 +1,4 @@
-// The table of a key's states and transitions, walked pair by pair.
+// Checks the table of a key's states and transitions for every pair of state and event.
 #include "idempotency/key_state.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 namespace postspread::idempotency {
 namespace {
 
-int Rows(KeyState from, KeyEvent event) {
+int CountTransitions(KeyState from, KeyEvent event) {
   int count = 0;
   for (const KeyTransition& row : kKeyTransitions) count += row.from == from && row.event == event ? 1 : 0;
   return count;
@@ -17,14 +17,15 @@
   for (const KeyState state : kAllKeyStates) {
     for (const KeyEvent event : kAllKeyEvents) {
       INFO("state " << static_cast<int>(state) << ", event " << static_cast<int>(event));
-      CHECK(Rows(state, event) <= 1);
-      CHECK(NextState(state, event).has_value() == (Rows(state, event) == 1));
+      CHECK(CountTransitions(state, event) <= 1);
+      CHECK(NextState(state, event).has_value() == (CountTransitions(state, event) == 1));
     }
   }
   for (const KeyTransition& row : kKeyTransitions) CHECK(NextState(row.from, row.event) == row.to);
 }
 
-TEST_CASE("every state is reachable, none leads back to a new key, and each can be left") {
+TEST_CASE(
+    "every state is reachable, none leads back to a new key, each can be left, and every event is used") {
   std::set<KeyState> reachable{KeyState::kNew};
   for (std::size_t before = 0; before != reachable.size();) {
     before = reachable.size();
@@ -44,13 +45,13 @@
   CHECK(used.size() == std::size(kAllKeyEvents));
 }
 
-TEST_CASE("work starts only by a granted claim or as a resumed attempt, and ends only by its own result") {
+TEST_CASE("work starts only by a granted claim or as a resumed attempt, and ends only by its result") {
   const std::set<KeyEvent> starts{KeyEvent::kClaimGranted, KeyEvent::kResumed};
   const std::set<KeyEvent> results{KeyEvent::kServed, KeyEvent::kAnswerLost, KeyEvent::kOutcomeLost};
   for (const KeyTransition& row : kKeyTransitions) {
     if (row.to == KeyState::kRunning) CHECK(starts.contains(row.event));
     if (row.from == KeyState::kRunning) CHECK(results.contains(row.event));
-    // A first attempt needs a claim; only a key whose work may have run is resumed.
+    // A first attempt requires a claim; only a key whose work may have run is resumed.
     if (row.event == KeyEvent::kClaimGranted) CHECK(row.from == KeyState::kClaiming);
     if (row.event == KeyEvent::kResumed) CHECK(row.from != KeyState::kClaiming);
   }
--- a/tests/idempotency/model.cpp
+++ b/tests/idempotency/model.cpp
@@ -5,8 +5,8 @@
 
 namespace postspread::idempotency::testing {
 
-std::string Effect(const char* what, WaiterId waiter, const std::string& detail) {
-  return std::string(what) + " " + std::to_string(waiter) + " " + detail;
+std::string Effect(const char* kind, WaiterId waiter, const std::string& detail) {
+  return std::string(kind) + " " + std::to_string(waiter) + " " + detail;
 }
 
 std::string ToText(const Effects& effects) {
@@ -21,7 +21,7 @@
     Key& key = keys_[request.key];
     key.body = request.body;
     key.waiters = {{request.waiter, request.deadline, false}};
-    key.sent = now;
+    key.first_sent = now;
     return Start(key, false, effects);
   }
   Key& key = found->second;
@@ -37,36 +37,37 @@
   }
 }
 
-void ReplicaModel::OnWorkFinished(int name, WorkResult result, const std::string& value, TimePoint now,
+void ReplicaModel::OnWorkFinished(int key_number, WorkResult result, const std::string& value, TimePoint now,
                                   Effects& effects) {
-  Key& key = keys_.at(name);
+  Key& key = keys_.at(key_number);
   switch (result) {
     case WorkResult::kServed:
       key.state = State::kAnswered;
       key.value = value;
-      AnswerAll(key, "complete", value, effects);
+      RespondToAll(key, "complete", value, effects);
       return;
     case WorkResult::kRejected:
-      AnswerAll(key, "reject", "", effects);
+      RespondToAll(key, "reject", "", effects);
       if (key.resumed) {
         key.state = State::kUnknownOutcome;
       } else {
-        keys_.erase(name);
+        keys_.erase(key_number);
       }
       return;
     case WorkResult::kFailed:
       break;
   }
   key.state = State::kUnknownOutcome;
-  const auto own = std::find_if(key.waiters.begin(), key.waiters.end(),
-                                [&key](const ModelWaiter& waiter) { return waiter.id == key.running; });
-  Answer(*own, "unknown", "", effects);
+  const auto own = std::find_if(key.waiters.begin(), key.waiters.end(), [&key](const ModelWaiter& waiter) {
+    return waiter.id == key.running_waiter;
+  });
+  Respond(*own, "unknown", "", effects);
   key.waiters.erase(own);
   Resume(key, now, effects);
 }
 
 void ReplicaModel::OnDisconnect(WaiterId waiter, Effects& effects) {
-  for (auto& [name, key] : keys_) {
+  for (auto& [key_number, key] : keys_) {
     const auto found =
         std::find_if(key.waiters.begin(), key.waiters.end(),
                      [waiter](const ModelWaiter& candidate) { return candidate.id == waiter; });
@@ -89,43 +90,43 @@
       effects.insert(Effect("unknown", waiter.id));
       return true;
     });
-    const bool expired = key.state != State::kRunning && key.sent + kKeep <= now;
+    const bool expired = key.state != State::kRunning && key.first_sent + kKeyLifetime <= now;
     it = expired ? keys_.erase(it) : std::next(it);
   }
 }
 
 std::vector<int> ReplicaModel::RunningKeys() const {
   std::vector<int> running;
-  for (const auto& [name, key] : keys_) {
-    if (key.state == State::kRunning) running.push_back(name);
+  for (const auto& [key_number, key] : keys_) {
+    if (key.state == State::kRunning) running.push_back(key_number);
   }
   return running;
 }
 
-void ReplicaModel::Answer(const ModelWaiter& waiter, const char* what, const std::string& detail,
-                          Effects& effects) {
-  effects.insert(waiter.client_disconnected ? Effect("release", waiter.id) : Effect(what, waiter.id, detail));
+void ReplicaModel::Respond(const ModelWaiter& waiter, const char* kind, const std::string& detail,
+                           Effects& effects) {
+  effects.insert(waiter.client_disconnected ? Effect("release", waiter.id) : Effect(kind, waiter.id, detail));
 }
 
-void ReplicaModel::AnswerAll(Key& key, const char* what, const std::string& detail, Effects& effects) {
-  for (const ModelWaiter& waiter : std::exchange(key.waiters, {})) Answer(waiter, what, detail, effects);
+void ReplicaModel::RespondToAll(Key& key, const char* kind, const std::string& detail, Effects& effects) {
+  for (const ModelWaiter& waiter : std::exchange(key.waiters, {})) Respond(waiter, kind, detail, effects);
 }
 
 void ReplicaModel::Start(Key& key, bool resumed, Effects& effects) {
-  // The first of those that can wait longest.
+  // Work runs under the latest deadline among the waiters; the earliest waiter wins a tie.
   const auto longest = std::max_element(
       key.waiters.begin(), key.waiters.end(),
       [](const ModelWaiter& left, const ModelWaiter& right) { return left.deadline < right.deadline; });
   key.state = State::kRunning;
-  key.running = longest->id;
+  key.running_waiter = longest->id;
   key.resumed = resumed;
-  effects.insert(Effect("start", longest->id, resumed ? "again" : ""));
+  effects.insert(Effect("start", longest->id, resumed ? "resumed" : ""));
 }
 
 void ReplicaModel::Resume(Key& key, TimePoint now, Effects& effects) {
   if (key.waiters.empty()) return;
-  if (now + kUpstreamTransit < key.sent + kDedupWindow) return Start(key, true, effects);
-  AnswerAll(key, "unknown", "", effects);
+  if (now + kUpstreamTransit < key.first_sent + kDedupWindow) return Start(key, true, effects);
+  RespondToAll(key, "unknown", "", effects);
 }
 
 }  // namespace postspread::idempotency::testing
--- a/tests/idempotency/model.h
+++ b/tests/idempotency/model.h
@@ -1,5 +1,5 @@
-// A plain model of one replica without peers: the state table of idempotency/replica.h in its simplest form.
-// What a step makes happen is recorded in words, so that model and replica can be compared.
+// A reference model of one replica without peers: the state table of idempotency/replica.h in its simplest
+// form. The effects of each step are recorded as text, so that model and replica can be compared.
 #ifndef POSTSPREAD_TESTS_IDEMPOTENCY_MODEL_H_
 #define POSTSPREAD_TESTS_IDEMPOTENCY_MODEL_H_
 
@@ -14,15 +14,17 @@
 
 namespace postspread::idempotency::testing {
 
-// The effects of a step, as words and numbers of waiters.
+// The effects of one step, each as the text that Effect returns.
 using Effects = std::multiset<std::string>;
-std::string Effect(const char* what, WaiterId waiter, const std::string& detail = "");
+// Returns the effect as text: its kind, the number of its waiter and a detail.
+std::string Effect(const char* kind, WaiterId waiter, const std::string& detail = "");
 std::string ToText(const Effects& effects);
 
+// Keys are numbered by the test; work on a key is one attempt at its request.
 class ReplicaModel {
  public:
   static constexpr Duration kDedupWindow = std::chrono::seconds(15);
-  static constexpr std::chrono::milliseconds kKeep{40'000};
+  static constexpr std::chrono::milliseconds kKeyLifetime{40'000};
   static constexpr Duration kUpstreamTransit = std::chrono::milliseconds(50);
   static constexpr std::size_t kMaxWaiters = 4;
 
@@ -35,9 +37,9 @@
   struct Key {
     State state = State::kRunning;
     int body = 0;
-    TimePoint sent{0};
+    TimePoint first_sent{0};
     bool resumed = false;
-    WaiterId running = 0;
+    WaiterId running_waiter = 0;
     std::string value;
     std::vector<ModelWaiter> waiters;
   };
@@ -49,23 +51,25 @@
     TimePoint deadline{0};
   };
   void OnRequest(const Request& request, TimePoint now, Effects& effects);
-  void OnWorkFinished(int name, WorkResult result, const std::string& value, TimePoint now, Effects& effects);
+  void OnWorkFinished(int key_number, WorkResult result, const std::string& value, TimePoint now,
+                      Effects& effects);
   void OnDisconnect(WaiterId waiter, Effects& effects);
   void AdvanceTo(TimePoint now, Effects& effects);
 
   [[nodiscard]] std::size_t size() const { return keys_.size(); }
-  // The keys whose work runs, and the waiter whose request that is.
+  // Returns the keys whose work is running.
   [[nodiscard]] std::vector<int> RunningKeys() const;
-  [[nodiscard]] WaiterId RunningWaiter(int name) const { return keys_.at(name).running; }
+  // Returns the waiter whose request runs; the key must be running.
+  [[nodiscard]] WaiterId RunningWaiter(int key_number) const { return keys_.at(key_number).running_waiter; }
 
  private:
-  static void Answer(const ModelWaiter& waiter, const char* what, const std::string& detail,
-                     Effects& effects);
-  static void AnswerAll(Key& key, const char* what, const std::string& detail, Effects& effects);
+  static void Respond(const ModelWaiter& waiter, const char* kind, const std::string& detail,
+                      Effects& effects);
+  static void RespondToAll(Key& key, const char* kind, const std::string& detail, Effects& effects);
   static void Start(Key& key, bool resumed, Effects& effects);
   static void Resume(Key& key, TimePoint now, Effects& effects);
   static bool IsRunning(const Key& key, WaiterId waiter) {
-    return key.state == State::kRunning && key.running == waiter;
+    return key.state == State::kRunning && key.running_waiter == waiter;
   }
 
   std::map<int, Key> keys_;
--- a/tests/idempotency/model_test.cpp
+++ b/tests/idempotency/model_test.cpp
@@ -1,5 +1,6 @@
-// One replica against a plain model of its state table: whatever requests, results, disconnects and waits
-// come, both do the same. 100 lists of 1,000 steps; a failing list is shrunk and printed.
+// Compares one replica with a reference model of its state table: both have the same effects for any sequence
+// of requests, results, disconnects and waits. RapidCheck generates 100 sequences of 1,000 steps, and shrinks
+// and prints a failing one.
 #include "model.h"
 
 #include <rapidcheck.h>
@@ -24,9 +25,9 @@
 enum class StepKind { kRequest, kServe, kReject, kFail, kDisconnect, kWait };
 struct Step {
   StepKind kind = StepKind::kRequest;
-  int key = 0;  // of the request, or which of those that run
+  int key = 0;  // the request's key, or an index into the running keys
   int body = 0;
-  int amount = 0;  // ms until the deadline, or of waiting
+  int amount = 0;  // milliseconds until the deadline or to wait; selects the waiter of a disconnect
 };
 std::ostream& operator<<(std::ostream& out, const Step& step) {
   return out << "{" << static_cast<int>(step.kind) << "," << step.key << "," << step.body << ","
@@ -34,12 +35,13 @@
 }
 
 Step ToStep(int kind, int key, int body, int amount) {
-  static constexpr StepKind kKinds[] = {
+  static constexpr StepKind kWeightedKinds[] = {
       StepKind::kRequest, StepKind::kRequest, StepKind::kRequest,    StepKind::kServe, StepKind::kReject,
       StepKind::kFail,    StepKind::kFail,    StepKind::kDisconnect, StepKind::kWait,  StepKind::kWait};
-  // Mostly short waits, and now and then one past the window or past the key's expiry.
+  // Most waits are short; one in ten may pass the deduplication window or the key's expiry.
   const int wait = amount % 10 == 0 ? amount * 5 : amount;
-  return {kKinds[kind], key, body == 0 ? 1 : 0, kKinds[kind] == StepKind::kWait ? wait : amount};
+  return {kWeightedKinds[kind], key, body == 0 ? 1 : 0,
+          kWeightedKinds[kind] == StepKind::kWait ? wait : amount};
 }
 
 WorkResult ToResult(StepKind kind) {
@@ -50,12 +52,12 @@
 Limits ModelLimits() {
   Limits limits;
   limits.enabled = true;
-  limits.keep = ReplicaModel::kKeep;
+  limits.keep = ReplicaModel::kKeyLifetime;
   limits.max_waiters = ReplicaModel::kMaxWaiters;
   return limits;
 }
 
-// Takes both through the same steps and compares their effects.
+// Applies the same steps to replica and model and compares their effects and sizes.
 class Comparison {
  public:
   Comparison() : replica_(ModelLimits(), {}, now_) { replica_.SetUpstreamGroups({{kGroup, 1}}); }
@@ -86,11 +88,11 @@
 
  private:
   void Request(const Step& step) {
-    const std::string name = std::to_string(step.key);
+    const std::string key_text = std::to_string(step.key);
     const KeyedRequest request{
         .waiter = next_waiter_++,
-        .key = DigestKey("c", "change", name),
-        .fingerprint = DigestRequest("c", "change", name, 1, std::to_string(step.body)),
+        .key = DigestKey("c", "change", key_text),
+        .fingerprint = DigestRequest("c", "change", key_text, 1, std::to_string(step.body)),
         .customer = 1,
         .deadline = now_ + milliseconds(step.amount),
         .dedup_window = ReplicaModel::kDedupWindow,
@@ -119,14 +121,14 @@
   void FinishWork(const Step& step) {
     const std::vector<int> running = model_.RunningKeys();
     if (running.empty()) return;
-    const int name = running[static_cast<std::size_t>(step.key) % running.size()];
+    const int key_number = running[static_cast<std::size_t>(step.key) % running.size()];
     const std::string value = "value of " + std::to_string(next_waiter_);
-    const WaiterId waiter = model_.RunningWaiter(name);
+    const WaiterId waiter = model_.RunningWaiter(key_number);
     RC_ASSERT(replica_.Runs(waiter));
     const WorkResult result = ToResult(step.kind);
     Collect(replica_.OnWorkFinished(waiter, result, value, Duration(1), now_));
-    model_.OnWorkFinished(name, result, value, now_, expected_);
-    // A key past its expiry, or a waiter past its deadline, goes at the next tick.
+    model_.OnWorkFinished(key_number, result, value, now_, expected_);
+    // The next tick removes keys past their expiry and waiters past their deadline.
     if (replica_.NextTick() && *replica_.NextTick() <= now_) Collect(replica_.Tick(now_));
     model_.AdvanceTo(now_, expected_);
   }
@@ -138,7 +140,7 @@
   static std::string ToEffect(const Action& action) {
     if (const auto* start = std::get_if<StartRequest>(&action)) {
       RC_ASSERT(start->placement.group == kGroup);
-      return Effect("start", start->waiter, start->placement.may_have_run ? "again" : "");
+      return Effect("start", start->waiter, start->placement.may_have_run ? "resumed" : "");
     }
     if (const auto* complete = std::get_if<CompleteRequest>(&action)) {
       return Effect("complete", complete->waiter, *complete->value);
@@ -164,7 +166,7 @@
   Effects actual_, expected_;
 };
 
-TEST_CASE("a replica does what the state table says") {
+TEST_CASE("for any sequence of steps, a replica has the same effects as the model of its state table") {
   const auto step = rc::gen::apply(ToStep, rc::gen::inRange(0, 10), rc::gen::inRange(0, 4),
                                    rc::gen::inRange(0, 8), rc::gen::inRange(1, 9'000));
   CHECK(rc::check("model", [&step] {
--- a/tests/idempotency/placement_test.cpp
+++ b/tests/idempotency/placement_test.cpp
@@ -1,4 +1,5 @@
-// Rendezvous placement: the same everywhere, in proportion to weights, and stable under changes.
+// Tests rendezvous placement: it is the same on every gateway, proportional to weights and stable under
+// changes.
 #include "idempotency/placement.h"
 
 #include <catch2/catch.hpp>
@@ -11,7 +12,7 @@
 
 KeyId Key(std::uint64_t number) { return {number * 0x9e3779b97f4a7c15ULL, ~number}; }
 
-TEST_CASE("keys go to upstream groups in proportion to their ready upstreams, and to none without any") {
+TEST_CASE("keys go to upstream groups in proportion to their ready upstreams, and to none without one") {
   const std::vector<UpstreamGroup> groups{{1, 1}, {2, 3}, {3, 0}};
   std::map<std::int64_t, int> keys;
   for (std::uint64_t number = 0; number < kKeys; ++number) ++keys[HomeGroup(Key(number), groups)->id];
@@ -22,7 +23,7 @@
   CHECK_FALSE(HomeGroup(Key(1), std::vector<UpstreamGroup>{{3, 0}}));
 }
 
-TEST_CASE("a group that is removed moves only its own keys, and the order of the list does not matter") {
+TEST_CASE("when a group is removed, only its own keys migrate, whatever the order of the list") {
   const std::vector<UpstreamGroup> before{{1, 2}, {2, 2}, {3, 2}}, after{{3, 2}, {1, 2}};
   for (std::uint64_t number = 0; number < kKeys; ++number) {
     const std::int64_t home = HomeGroup(Key(number), before)->id;
@@ -30,7 +31,8 @@
   }
 }
 
-TEST_CASE("the best gateways of a key are the same for every order of the list, and agree with precedence") {
+TEST_CASE(
+    "the best gateways of a key are the same for every order of the list and agree with TakesPrecedence") {
   for (std::uint64_t number = 0; number < kKeys; ++number) {
     const std::vector<int> best = BestGateways(Key(number), {0, 1, 2, 3, 4}, 3);
     REQUIRE(best.size() == 3);
--- a/tests/idempotency/process_test.cpp
+++ b/tests/idempotency/process_test.cpp
@@ -1,4 +1,5 @@
-// Idempotency keys in the real program, one gateway on sockets. Several gateways: bench/idempotency.cpp.
+// Tests idempotency keys in the gateway program: one gateway process on loopback sockets.
+// bench/idempotency.cpp covers several gateways.
 #include "partners/site.h"
 
 namespace postspread {
@@ -6,10 +7,10 @@
 
 using namespace site;
 
-const char* const kEnabled = "idempotency { enabled = true }\n";
+const char* const kIdempotencyEnabled = "idempotency { enabled = true }\n";
 
-// Settings with a class whose writes carry a key.
-json KeyedWrites() {
+// Returns settings with a class whose writes carry an idempotency key.
+json KeyedWriteSettings() {
   return {{"settings",
            {{"Classes",
              {{{"Name", "lookup"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "safe"}},
@@ -26,23 +27,24 @@
   return Command({"API.WRITE", "0000000000000001", id, extras, body});
 }
 
-const char* const kReply = "*3\r\n$4\r\nmade\r\n$-1\r\n$-1\r\n";
+const char* const kUpstreamResponse = "*3\r\n$4\r\nmade\r\n$-1\r\n$-1\r\n";
 const char* const kUnknownOutcome = "-ERR outcome unknown: the change under this key may have been made\r\n";
 
-json SingleAttemptWrites() {
-  json settings = KeyedWrites();
+json SingleAttemptSettings() {
+  json settings = KeyedWriteSettings();
   settings["settings"]["Limits"] = {{"MostTries", 1}};
   return settings;
 }
 
-// Two upstreams in two groups, of which one has died with the whole request of key k1 sent to it.
-struct LostReply {
-  Site site{2, SingleAttemptWrites(), false, kEnabled};
-  json entries;
-  int home = 0;  // the upstream that got the request
+// Two upstreams in two groups. One of them received the complete request of key k1 and closed the connection
+// without a response.
+struct LostResponse {
+  Site site{2, SingleAttemptSettings(), false, kIdempotencyEnabled};
+  json endpoints;
+  int home = 0;  // the upstream that received the request
   Peer client;
 
-  LostReply() : client(StartAndConnect()) {
+  LostResponse() : client(StartAndConnect()) {
     client.Send(WriteCommand("one", "k1"));
     site.Grant();
     home = site.Dialled();
@@ -51,25 +53,25 @@
     upstream.Close();
     CHECK(client.Line() == kUnknownOutcome);
   }
-  void PublishEntries() {
-    site.Tell(Site::List(true, entries));
+  void PublishEndpoints() {
+    site.Tell(Site::List(true, endpoints));
     site.watch().Until("\r\n\r\n");
   }
 
  private:
   Peer StartAndConnect() {
     site.Start(2);
-    entries = site.Entries(0, 2, "Ready");
-    entries[1]["group"] = 1;  // the other is in group 0
-    PublishEntries();
+    endpoints = site.Entries(0, 2, "Ready");
+    endpoints[1]["group"] = 1;  // upstream 0 is in group 0
+    PublishEndpoints();
     return site.Client();
   }
 };
 
 TEST_CASE(
-    "a repeat joins the request that runs, a later one is answered at once, and neither takes units or an "
-    "attempt") {
-  Site site(1, KeyedWrites(), false, kEnabled);
+    "a repeat joins the running request, a later one receives the stored response, and neither takes units "
+    "or an attempt") {
+  Site site(1, KeyedWriteSettings(), false, kIdempotencyEnabled);
   site.Start(1);
   Peer first = site.Client(), second = site.Client();
   first.Send(WriteCommand("one", "k1"));
@@ -77,11 +79,12 @@
   Peer upstream = site.upstream(0).Accept();
   CHECK(upstream.Command()[2] == "one");
   second.Send(WriteCommand("two", "k1"));
-  // The second request is in the store before the reply comes: its connection answers in order.
+  // The upstream responds only once the second request is in the store; a connection handles its commands in
+  // order.
   second.Send(Command({"PING", "x"}));
   first.Send(Command({"PING", "x"}));
   site.WaitUntilReady();
-  upstream.Send(kReply);
+  upstream.Send(kUpstreamResponse);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
   Peer third = site.Client();
@@ -92,8 +95,8 @@
   CHECK_FALSE(site.calls().HasMore());
 }
 
-TEST_CASE("without an operator file a repeat is a request like any other") {
-  Site site(1, KeyedWrites());
+TEST_CASE("without an operator file, a repeat is forwarded like any other request") {
+  Site site(1, KeyedWriteSettings());
   site.Start(1);
   Peer first = site.Client(), second = site.Client();
   first.Send(WriteCommand("one", "k1"));
@@ -106,8 +109,8 @@
   CHECK(other.Command()[2] == "two");
 }
 
-TEST_CASE("a key reused with another body gets a mismatch error") {
-  Site site(1, KeyedWrites(), false, kEnabled);
+TEST_CASE("when a key is reused with another body, the request fails with a mismatch error") {
+  Site site(1, KeyedWriteSettings(), false, kIdempotencyEnabled);
   site.Start(1);
   Peer first = site.Client(), second = site.Client();
   first.Send(WriteCommand("one", "k1", "to monday"));
@@ -116,28 +119,29 @@
   upstream.Command();
   second.Send(WriteCommand("two", "k1", "to friday"));
   CHECK(second.Line() == "-ERR this key was used for another request\r\n");
-  upstream.Send(kReply);
+  upstream.Send(kUpstreamResponse);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
 }
 
 TEST_CASE(
-    "the upstream dies after the last byte: the outcome is unknown, and a repeat goes to its group only") {
-  LostReply lost;
+    "when the upstream closes after the complete request, the outcome is unknown and a repeat goes to its "
+    "group only") {
+  LostResponse lost;
   Site& site = lost.site;
   lost.client.Send(WriteCommand("two", "k1"));
   site.Grant();
   Peer again = site.upstream(lost.home).Accept();
   CHECK(again.Command()[2] == "two");
   CHECK_FALSE(site.upstream(1 - lost.home).Asked());
-  again.Send(kReply);
+  again.Send(kUpstreamResponse);
   CHECK(lost.client.Until("made\r\n") == "$4\r\nmade\r\n");
 }
 
-TEST_CASE("the group drains while an outcome is unknown: nothing is sent, and a repeat fails") {
-  LostReply lost;
+TEST_CASE("when the group drains while an outcome is unknown, nothing is sent and a repeat fails") {
+  LostResponse lost;
   Site& site = lost.site;
-  lost.entries[static_cast<std::size_t>(lost.home)]["status"] = "Terminating";
-  lost.PublishEntries();
+  lost.endpoints[static_cast<std::size_t>(lost.home)]["status"] = "Terminating";
+  lost.PublishEndpoints();
   lost.client.Send(WriteCommand("two", "k1"));
   site.Grant();
   CHECK(lost.client.Line() == kUnknownOutcome);
@@ -145,8 +149,8 @@
   CHECK_FALSE(site.upstream(1).Asked());
 }
 
-TEST_CASE("the first client disconnects: its work goes on for the one that waits") {
-  Site site(1, KeyedWrites(), false, kEnabled);
+TEST_CASE("when the first client disconnects, its request continues for the client that waits") {
+  Site site(1, KeyedWriteSettings(), false, kIdempotencyEnabled);
   site.Start(1);
   Peer first = site.Client(), second = site.Client();
   first.Send(WriteCommand("one", "k1"));
@@ -158,13 +162,15 @@
   site.WaitUntilReady();
   first.Close();
   site.WaitUntilReady();
-  CHECK_FALSE(upstream.HasMore());  // not cancelled
-  upstream.Send(kReply);
+  CHECK_FALSE(upstream.HasMore());  // the attempt was not cancelled
+  upstream.Send(kUpstreamResponse);
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
 }
 
-TEST_CASE("SIGTERM and SIGHUP with waiters: each gets its answer, new limits apply, the shutdown is clean") {
-  Site site(1, KeyedWrites(), false, kEnabled);
+TEST_CASE(
+    "with waiters, SIGHUP applies new limits, and SIGTERM lets each receive its response before a clean "
+    "exit") {
+  Site site(1, KeyedWriteSettings(), false, kIdempotencyEnabled);
   site.Start(1);
   Peer first = site.Client(), second = site.Client();
   first.Send(WriteCommand("one", "k1"));
@@ -189,14 +195,15 @@
   site.Logged("idempotency.keep is shorter than the KeyTtl of class \"move\", 30000ms");
   site.Terminate();
   site.Logged("draining");
-  upstream.Send(kReply);
+  upstream.Send(kUpstreamResponse);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("an invalid operator file ends the program with status 2 and an error that names line and key") {
-  Site site(1, KeyedWrites(), false, "idempotency {\n keep = 5 }\n");
+TEST_CASE(
+    "an invalid operator file makes the program exit with status 2 after an error that names line and key") {
+  Site site(1, KeyedWriteSettings(), false, "idempotency {\n keep = 5 }\n");
   CHECK(site.Wait() == 2);
   site.Logged("configuration is invalid: ");
   site.Logged(":2: idempotency.keep is \"5\": a whole number with its unit is wanted");
--- a/tests/idempotency/wire_test.cpp
+++ b/tests/idempotency/wire_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams between replicas: what is encoded is decoded, and what is corrupt is rejected as a whole.
+// Tests datagrams between replicas: encoding round-trips, and a corrupt datagram is rejected as a whole.
 #include "idempotency/wire.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 namespace postspread::idempotency {
 namespace {
 
-std::vector<Record> OneOfEach() {
+std::vector<Record> OneRecordOfEachKind() {
   const KeyId key{0x0123456789abcdefULL, 0xfedcba9876543210ULL};
   return {ClaimRecord{key, 5, 6, 7, 1, -8, 15'000},
           VoteRecord{.key = key, .round = 9, .kind = VoteKind::kGrantedRecovering, .reference_round = 3},
@@ -18,8 +18,8 @@
           FragmentRecord{key, 319, 66'560, std::string(kFragmentBytes, 'x')}};
 }
 
-TEST_CASE("records are decoded as they were encoded, and each fits a datagram together with the header") {
-  for (const Record& record : OneOfEach()) {
+TEST_CASE("each record decodes to what was encoded and fits into one datagram together with the header") {
+  for (const Record& record : OneRecordOfEachKind()) {
     const std::string bytes = EncodeDatagram({2, 77}, EncodeRecord(record));
     CHECK(bytes.size() <= kMaxDatagram);
     const auto decoded = DecodeDatagram(bytes);
@@ -31,9 +31,9 @@
   }
 }
 
-TEST_CASE("a datagram that is truncated anywhere, or has any bit flipped, is rejected as a whole") {
+TEST_CASE("a datagram that is truncated anywhere or has any bit flipped is rejected as a whole") {
   std::string records;
-  for (const Record& record : OneOfEach()) {
+  for (const Record& record : OneRecordOfEachKind()) {
     if (!std::holds_alternative<FragmentRecord>(record)) records += EncodeRecord(record);
   }
   const std::string bytes = EncodeDatagram({1, 5}, records);
@@ -47,7 +47,8 @@
   }
 }
 
-TEST_CASE("random bytes behind a valid header decode to valid records or not at all") {
+TEST_CASE(
+    "random bytes after a valid header are rejected, or decode to records that encode to the same bytes") {
   std::mt19937 random(4);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes(random() % 240, '\0');
@@ -55,9 +56,9 @@
     if (!bytes.empty()) bytes[0] = static_cast<char>(random() % 6);
     const auto decoded = DecodeDatagram(EncodeDatagram({0, 1}, bytes));
     if (!decoded) continue;
-    std::string again;
-    for (const Record& record : decoded->records) again += EncodeRecord(record);
-    CHECK(again == bytes);
+    std::string reencoded;
+    for (const Record& record : decoded->records) reencoded += EncodeRecord(record);
+    CHECK(reencoded == bytes);
   }
 }
 
