--- a/bench/gateway_group.h
+++ b/bench/gateway_group.h
@@ -1,4 +1,4 @@
-// The group of gateway processes that the bench of the idempotency store measures.
+// Runs the gateway processes that the bench of the idempotency store measures.
 #ifndef POSTSPREAD_BENCH_GATEWAY_GROUP_H_
 #define POSTSPREAD_BENCH_GATEWAY_GROUP_H_
 
@@ -19,12 +19,14 @@
 
 inline constexpr int kGateways = 3;
 
-// Three gateways as processes, with or without the idempotency store.
-class Group {
+// Owns three gateway processes, with or without the idempotency store, and the simulated network between
+// them.
+class GatewayGroup {
  public:
-  Group(event_base* base, const std::filesystem::path& folder, const std::string& name, bool with_store,
-        const json& known, const std::string& discovery, const std::string& counter, std::uint64_t seed)
-      : folder_(folder), name_(name), with_store_(with_store), datagrams(base, kGateways, seed) {
+  GatewayGroup(event_base* base, const std::filesystem::path& directory, const std::string& name,
+               bool with_store, const json& endpoints, const std::string& discovery,
+               const std::string& counter, std::uint64_t seed)
+      : directory_(directory), name_(name), with_store_(with_store), datagrams(base, kGateways, seed) {
     for (int i = 0; i < kGateways; ++i) {
       ports_.push_back(FreePort());
       processes_.push_back(nullptr);
@@ -59,11 +61,11 @@
                            {"seed", std::to_string(seed + static_cast<std::uint64_t>(i))},
                            {"peer_listen", datagrams.listen(i)},
                            {"peers", datagrams.peers(i)},
-                           {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", known}}},
+                           {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", endpoints}}},
                            {"settings", settings}};
       std::ofstream(Path(i, ".json")) << config.dump();
     }
-    std::ofstream(folder_ / (name_ + ".conf"))
+    std::ofstream(directory_ / (name_ + ".conf"))
         << "idempotency {\n enabled = true\n keep = 40s\n memory = 8mb\n datagrams_per_second = 2000\n"
            " customer_share = 0.25\n}\n";
     for (int i = 0; i < kGateways; ++i) Start(i);
@@ -73,66 +75,68 @@
     Process::Plan plan;
     plan.program = GATEWAY_PROGRAM;
     plan.variables = {"ROUTER_CONFIG=" + Path(rank, ".json")};
-    if (with_store_) plan.arguments = {"--operator", (folder_ / (name_ + ".conf")).string()};
+    if (with_store_) plan.arguments = {"--operator", (directory_ / (name_ + ".conf")).string()};
     plan.log = Path(rank, ".log");
     processes_[static_cast<std::size_t>(rank)] = std::make_unique<Process>(plan);
   }
   void Kill(int rank) {
-    NoteMemory();
+    UpdatePeakMemory();
     processes_[static_cast<std::size_t>(rank)].reset();
   }
-  // Ends all by SIGTERM; true where each ended with 0.
-  bool Stop() {
-    NoteMemory();
-    bool sound = true;
+  // Sends SIGTERM to all processes and waits for them; returns whether each exited with status 0.
+  bool Shutdown() {
+    UpdatePeakMemory();
+    bool clean = true;
     for (const auto& process : processes_) {
       if (process) process->Terminate();
     }
     for (const auto& process : processes_) {
-      if (process) sound = process->Wait() == 0 && sound;
+      if (process) clean = process->Wait() == 0 && clean;
     }
-    return sound;
+    return clean;
   }
   [[nodiscard]] int port(int rank) const { return ports_[static_cast<std::size_t>(rank)]; }
 
-  // Seconds of CPU that the living ones have used.
-  [[nodiscard]] double Cpu() const {
-    double out = 0;
-    for (const auto& process : processes_) out += process ? process->CpuSeconds() : 0;
-    return out;
+  // Returns the CPU seconds that the running processes have used in total.
+  [[nodiscard]] double TotalCpuSeconds() const {
+    double result = 0;
+    for (const auto& process : processes_) result += process ? process->CpuSeconds() : 0;
+    return result;
   }
-  void NoteMemory() {
-    for (const auto& process : processes_) rss_mb = std::max(rss_mb, process ? process->PeakMb() : 0);
+  void UpdatePeakMemory() {
+    for (const auto& process : processes_)
+      peak_rss_mb = std::max(peak_rss_mb, process ? process->PeakMb() : 0);
   }
-  // A figure of the log's lines on keys: the last of each life, summed or the largest.
-  [[nodiscard]] double Metric(const std::string& figure, bool largest = false) const {
-    double out = 0;
+  // Returns a metric of the log's lines on the idempotency store: the last value of each incarnation of each
+  // gateway, summed up, or the maximum of these.
+  [[nodiscard]] double LoggedMetric(const std::string& metric, bool maximum = false) const {
+    double result = 0;
     for (int i = 0; i < kGateways; ++i) {
       std::ifstream file(Path(i, ".log"));
-      double last = 0;
-      const auto close = [&] {
-        out = largest ? std::max(out, last) : out + last;
-        last = 0;
+      double last_value = 0;
+      const auto finish_incarnation = [&] {
+        result = maximum ? std::max(result, last_value) : result + last_value;
+        last_value = 0;
       };
       for (std::string line; std::getline(file, line);) {
-        if (line.find("postspread: started") == 0) close();
-        const std::size_t at = line.find(" " + figure + "=");
+        if (line.find("postspread: started") == 0) finish_incarnation();
+        const std::size_t at = line.find(" " + metric + "=");
         if (line.find("postspread: idempotency store:") == 0 && at != std::string::npos) {
-          last = std::stod(line.substr(at + figure.size() + 2));
+          last_value = std::stod(line.substr(at + metric.size() + 2));
         }
       }
-      close();
+      finish_incarnation();
     }
-    return out;
+    return result;
   }
 
-  double rss_mb = 0;
+  double peak_rss_mb = 0;
 
  private:
   std::string Path(int rank, const char* ending) const {
-    return (folder_ / (name_ + std::to_string(rank) + ending)).string();
+    return (directory_ / (name_ + std::to_string(rank) + ending)).string();
   }
-  std::filesystem::path folder_;
+  std::filesystem::path directory_;
   std::string name_;
   bool with_store_;
   std::vector<int> ports_;
