--- a/src/flow/arrival_times.h
+++ b/src/flow/arrival_times.h
@@ -1,5 +1,5 @@
-// When the bytes in a connection's read buffer arrived: a request that waits there behind others arrived
-// before the bytes that were read after it. No clock, no I/O: times are handed in.
+// This module records when the bytes in a connection's read buffer arrived. It has no clock and does no I/O:
+// the caller passes in all times.
 #ifndef POSTSPREAD_FLOW_ARRIVAL_TIMES_H_
 #define POSTSPREAD_FLOW_ARRIVAL_TIMES_H_
 
@@ -9,21 +9,25 @@
 
 namespace postspread::flow {
 
+// Records arrival times for one connection's read buffer. A request that waits in the buffer behind others
+// arrived before the bytes that were read after it.
 class ArrivalTimes {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
-  // Chunks with a time of their own; more bytes are added to the last one.
+  // At most this many chunks are stored; further bytes are added to the last chunk and get its time.
   static constexpr std::size_t kMaxChunks = 64;
 
-  // `size` bytes have been appended to the buffer; they arrived at `when`.
+  // Records that `size` bytes were appended to the buffer, and that they arrived at `when`.
   void Appended(std::size_t size, TimePoint when);
-  // The same where the whole buffer is the beginning of one request, which arrives with its last byte.
+  // Records the same where the whole buffer is the beginning of one request. A request arrives with its last
+  // byte, so all bytes in the buffer get the time `when`.
   void Continued(std::size_t size, TimePoint when);
-  // `size` bytes have been removed from its front; no more than it holds.
+  // Records that `size` bytes were removed from the front of the buffer, which contained at least that many.
   void Consumed(std::size_t size);
-  // When the last of the first `size` bytes arrived, or somewhat earlier. The buffer holds that many.
+  // Returns when the last of the first `size` bytes arrived, or an earlier time where it was added to an
+  // older chunk. The buffer contains at least `size` bytes.
   [[nodiscard]] TimePoint Of(std::size_t size) const;
-  // Bytes in the buffer.
+  // Returns the number of bytes in the buffer.
   [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
--- a/src/flow/byte_budget.cpp
+++ b/src/flow/byte_budget.cpp
@@ -4,30 +4,30 @@
 
 namespace postspread::flow {
 
-bool ByteBudget::Take(std::size_t bytes) {
+bool ByteBudget::TryReserve(std::size_t bytes) {
   if (used_ > total_ || bytes > total_ - used_) return false;
   used_ += bytes;
   return true;
 }
 
 bool ByteBudget::TakeOrQueue(Waiter& waiter, std::size_t bytes) {
-  if (line_.empty() && Take(bytes)) return true;
-  line_.push_back({&waiter, bytes});
+  if (queue_.empty() && TryReserve(bytes)) return true;
+  queue_.push_back({&waiter, bytes});
   return false;
 }
 
 void ByteBudget::Leave(Waiter& waiter) {
-  std::erase_if(line_, [&waiter](const QueueEntry& entry) { return entry.waiter == &waiter; });
+  std::erase_if(queue_, [&waiter](const QueueEntry& entry) { return entry.waiter == &waiter; });
   Grant();
 }
 
 void ByteBudget::Give(std::size_t bytes) { used_ -= std::min(used_, bytes); }
 
 void ByteBudget::Grant() {
-  while (!line_.empty() && Take(line_.front().bytes)) {
-    Waiter* waiter = line_.front().waiter;
-    line_.pop_front();
-    waiter->OnGranted();  // may call this budget
+  while (!queue_.empty() && TryReserve(queue_.front().bytes)) {
+    Waiter* waiter = queue_.front().waiter;
+    queue_.pop_front();
+    waiter->OnGranted();  // The waiter may call this budget from within.
   }
 }
 
--- a/src/flow/byte_budget.h
+++ b/src/flow/byte_budget.h
@@ -1,4 +1,4 @@
-// Bounds the bytes that are held at once; large reservations wait in line. No clock, no I/O.
+// This module bounds reserved memory. It has no clock and does no I/O.
 #ifndef POSTSPREAD_FLOW_BYTE_BUDGET_H_
 #define POSTSPREAD_FLOW_BYTE_BUDGET_H_
 
@@ -7,11 +7,12 @@
 
 namespace postspread::flow {
 
+// Bounds the bytes that are reserved at one time. Large reservations wait in a queue.
 class ByteBudget {
  public:
   class Waiter {
    public:
-    // The bytes that it queued for are reserved.
+    // Called when the bytes that this waiter queued for are reserved; it is no longer in the queue.
     virtual void OnGranted() = 0;
 
    protected:
@@ -22,18 +23,20 @@
 
   [[nodiscard]] std::size_t total() const { return total_; }
   [[nodiscard]] std::size_t used() const { return used_; }
-  [[nodiscard]] std::size_t waiting() const { return line_.size(); }
-
-  // Reserves at once, ahead of the line: for what is small or already in memory. False: over the budget.
-  bool Take(std::size_t bytes);
-  // Reserves now and returns true, or adds `waiter` to the end of the line: first come, first served,
-  // whatever the size. `bytes` must not exceed the total; a waiter queues once at a time.
+  [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
+
+  // Reserves `bytes` at once, ahead of the queue; this is for what is small or already in memory. Returns
+  // false and reserves nothing where the budget does not allow it.
+  bool TryReserve(std::size_t bytes);
+  // Reserves `bytes` and returns true, or adds `waiter` to the end of the queue and returns false. The queue
+  // is first come, first served, whatever the size. `bytes` must not exceed the total, and a waiter must not
+  // be in the queue already.
   bool TakeOrQueue(Waiter& waiter, std::size_t bytes);
-  // Removes `waiter` from the line, if it is there, and grants what that makes possible.
+  // Removes `waiter` from the queue, if it is there, and grants the reservations that this makes possible.
   void Leave(Waiter& waiter);
-  // Returns reserved bytes. Grants nothing, so that they can be taken again for another purpose.
+  // Releases reserved bytes. It grants nothing, so the caller can reserve them for another purpose first.
   void Give(std::size_t bytes);
-  // Grants what can be granted, in order.
+  // Grants reservations from the front of the queue for as long as the budget allows.
   void Grant();
 
  private:
@@ -43,7 +46,7 @@
   };
   std::size_t total_;
   std::size_t used_ = 0;
-  std::deque<QueueEntry> line_;
+  std::deque<QueueEntry> queue_;
 };
 
 }  // namespace postspread::flow
--- a/src/flow/datagram_budget.h
+++ b/src/flow/datagram_budget.h
@@ -1,8 +1,4 @@
-// One token bucket for all datagrams to other gateways, whatever they carry: a gateway causes no more of them
-// a second than the settings let a gateway receive. No sockets and no clock.
-//
-// Order of precedence: the membership view, the idempotency store, the broadcast of customers' usage. Each
-// leaves a part of the bucket to those before it.
+// This module limits the rate of datagrams to other gateways. It has no sockets and no clock.
 #ifndef POSTSPREAD_FLOW_DATAGRAM_BUDGET_H_
 #define POSTSPREAD_FLOW_DATAGRAM_BUDGET_H_
 
@@ -12,17 +8,20 @@
 
 namespace postspread::flow {
 
-// In order of precedence.
+// Lists the purposes of datagrams in descending order of precedence: the membership view, the idempotency
+// store, and the broadcast of customers' usage.
 enum class DatagramKind : std::uint8_t { kMembership, kIdempotency, kUsage };
 
+// Limits all datagrams to other gateways by one token bucket. A gateway causes no more deliveries a second
+// than the settings allow a gateway to receive. Each kind leaves a part of the bucket to the kinds before it.
 class DatagramBudget {
  public:
-  // `per_second`: datagrams that one gateway receives; 0: unlimited.
+  // `per_second` is the number of datagrams that one gateway may receive a second; 0 means unlimited.
   explicit DatagramBudget(double per_second) : per_second_(per_second), tokens_(per_second) {}
 
-  // Whether a datagram to so many gateways may be sent now. One to many may take more tokens than are left:
-  // the following ones wait until they are refilled.
-  bool Take(DatagramKind kind, std::size_t receivers, std::chrono::steady_clock::time_point now);
+  // Takes one token for each receiver and returns true, or returns false: the datagram must not be sent now.
+  // A datagram to many receivers may take more tokens than are left; later datagrams wait for the refill.
+  bool TryConsume(DatagramKind kind, std::size_t receivers, std::chrono::steady_clock::time_point now);
   void SetRate(double per_second) { per_second_ = per_second; }
   [[nodiscard]] std::uint64_t throttled() const { return throttled_; }
 
--- a/src/flow/eviction.h
+++ b/src/flow/eviction.h
@@ -1,5 +1,6 @@
-// Which client connection is evicted when descriptors are scarce, so that many clients that never complete a
-// request do not lock out those that do. No clock, no I/O: times are handed in.
+// This module chooses the client connection that is evicted when descriptors are scarce. It prevents clients
+// that never complete a request from locking out those that do. It has no clock and does no I/O: the caller
+// passes in all times.
 #ifndef POSTSPREAD_FLOW_EVICTION_H_
 #define POSTSPREAD_FLOW_EVICTION_H_
 
@@ -9,26 +10,34 @@
 
 namespace postspread::flow {
 
-// A connection as eviction sees it.
+// Describes a client connection for the decision whether and when it is evicted.
 struct ConnectionState {
-  bool is_delivered = false;   // all responses are acknowledged; lingers until its client closes
-  bool is_pending = false;     // a response is pending or being read by its client: never evicted
-  bool has_requested = false;  // a valid request has come over it before
-  bool has_partial = false;    // a command has begun to arrive
-  std::chrono::milliseconds since_command{0};  // since its last command, or since it connected
-  std::chrono::milliseconds since_partial{0};  // since the first byte of the command that has begun
-  std::chrono::milliseconds since_byte{0};     // since its last byte
+  // The client has acknowledged all responses, and the connection lingers until the client closes it.
+  bool is_delivered = false;
+  // A response is pending, or the client is reading it; such a connection is never evicted.
+  bool is_pending = false;
+  // The client has sent a valid request over this connection before.
+  bool has_requested = false;
+  // A command has begun to arrive and is incomplete.
+  bool has_partial = false;
+  // This time has passed since the last command, or since the client connected.
+  std::chrono::milliseconds since_command{0};
+  // This time has passed since the first byte of the incomplete command.
+  std::chrono::milliseconds since_partial{0};
+  // This time has passed since the last byte.
+  std::chrono::milliseconds since_byte{0};
 };
 
-// The lowest rank is evicted first.
+// The connection with the lowest rank is evicted first.
 struct EvictionRank {
   int order = 0;
-  std::chrono::milliseconds age{0};  // negated: within one order the oldest goes first
+  // The age is negative, so that among connections of one order the oldest is evicted first.
+  std::chrono::milliseconds age{0};
   auto operator<=>(const EvictionRank&) const =
       default;  // NOLINT(modernize-use-nullptr): taken for a comparison with 0
 };
 
-// Nothing: the connection is not evicted.
+// Returns the rank of a connection, or nothing where the connection must not be evicted.
 std::optional<EvictionRank> RankForEviction(const ConnectionState& connection);
 
 }  // namespace postspread::flow
--- a/src/flow/resource_partition.cpp
+++ b/src/flow/resource_partition.cpp
@@ -22,7 +22,8 @@
   const std::size_t memory = limits.memory_bytes / processes;
   const std::size_t admin_sockets = limits.has_admin_server ? config::kAdminSockets : 0;
   const std::size_t sockets = limits.sockets / processes - config::kOtherSockets - admin_sockets;
-  // Clients get more: an upstream's connection is reused, a client's may be new with each request and slow.
+  // Clients get the larger fraction: connections to upstreams are reused, while clients may be slow and may
+  // open a new connection for each request.
   const std::size_t clients = sockets * 5 / 8;
   return {.request_bytes = memory / 8,
           .large_request_bytes = std::max(limits.max_command_bytes, memory / 4),
--- a/src/net/gateway/in_flight_requests.cpp
+++ b/src/net/gateway/in_flight_requests.cpp
@@ -5,7 +5,7 @@
 namespace postspread::net {
 
 bool InFlightRequests::Reserve(const resp::EncodedRequest& encoded) {
-  return BudgetOf(encoded).Take(encoded.size());
+  return BudgetOf(encoded).TryReserve(encoded.size());
 }
 
 void InFlightRequests::Add(RequestId id, InFlightRequest request) {
--- a/src/net/gateway/peer_datagrams.cpp
+++ b/src/net/gateway/peer_datagrams.cpp
@@ -30,14 +30,14 @@
   const bool to_all = datagram.rank == planner::SendDatagram::kAll;
   const std::size_t receivers = to_all ? config_.peers.size() - 1 : 1;
   const auto kind = to_all ? flow::DatagramKind::kUsage : flow::DatagramKind::kIdempotency;
-  if (!budget_.Take(kind, receivers, Clock::now())) return;
+  if (!budget_.TryConsume(kind, receivers, Clock::now())) return;
   if (to_all) return group_->SendToAll(config_.settings.rank, datagram.bytes);
   group_->Send(datagram.rank, datagram.bytes);
 }
 
 void PeerDatagrams::Send(const planner::SendMembershipDatagram& datagram) {
   if (membership_) return membership_->SendTo(datagram.peer, datagram.bytes);
-  if (!group_ || !budget_.Take(flow::DatagramKind::kMembership, 1, Clock::now())) return;
+  if (!group_ || !budget_.TryConsume(flow::DatagramKind::kMembership, 1, Clock::now())) return;
   group_->Send(static_cast<int>(datagram.peer), datagram.bytes);
 }
 
--- a/tests/flow/arrival_times_test.cpp
+++ b/tests/flow/arrival_times_test.cpp
@@ -1,4 +1,4 @@
-// When buffered bytes arrived, in modelled time.
+// Tests of the arrival times of buffered bytes, in simulated time.
 #include "flow/arrival_times.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 ArrivalTimes::TimePoint At(int ms) { return ArrivalTimes::TimePoint(milliseconds(ms)); }
 
-TEST_CASE("a request arrived with its last byte, whatever is read after it") {
+TEST_CASE("when more bytes are read after a request, its arrival time is still that of its own last byte") {
   ArrivalTimes times;
   times.Appended(30, At(100));
   times.Appended(50, At(400));
@@ -23,7 +23,7 @@
   CHECK(times.size() == 0);
 }
 
-TEST_CASE("beyond the maximum of chunks bytes count as older than they are, never as younger") {
+TEST_CASE("when more chunks arrive than are stored, bytes count as older than they are, never as younger") {
   ArrivalTimes times;
   for (int i = 0; i < 1'000; ++i) times.Appended(1, At(i));
   const int last = static_cast<int>(ArrivalTimes::kMaxChunks) - 1;
@@ -33,7 +33,7 @@
   CHECK(times.Of(1) == At(2'000));
 }
 
-TEST_CASE("a request that arrives in very many chunks arrived with the last one") {
+TEST_CASE("when a request arrives in very many chunks, its arrival time is that of the last chunk") {
   ArrivalTimes times;
   for (int i = 0; i < 1'000; ++i) times.Continued(1, At(i));
   CHECK(times.Of(1'000) == At(999));
--- a/tests/flow/byte_budget_test.cpp
+++ b/tests/flow/byte_budget_test.cpp
@@ -1,4 +1,4 @@
-// The byte budget: reservations never exceed the total, and no waiter starves.
+// Tests of the byte budget: reservations never exceed the total, and no waiter starves.
 #include "flow/byte_budget.h"
 
 #include <catch2/catch.hpp>
@@ -18,24 +18,24 @@
   }
 };
 
-TEST_CASE("first come, first served in the line, and small reservations pass it") {
+TEST_CASE("given a queue, reservations are granted first come, first served, and small ones pass it") {
   ByteBudget budget(100);
   Client a;
   Client b;
   a.wanted = 60;
   b.wanted = 10;
-  CHECK(budget.Take(60));
+  CHECK(budget.TryReserve(60));
   CHECK_FALSE(budget.TakeOrQueue(a, 60));
-  CHECK_FALSE(budget.TakeOrQueue(b, 10));  // it would fit, but a is before it
-  CHECK(budget.Take(40));
+  CHECK_FALSE(budget.TakeOrQueue(b, 10));  // The budget would allow it, but `a` is ahead in the queue.
+  CHECK(budget.TryReserve(40));
   budget.Give(60);
-  CHECK(a.reserved == 0);  // what is given can be taken for another purpose first
+  CHECK(a.reserved == 0);  // Released bytes can be reserved for another purpose first.
   budget.Grant();
   CHECK(a.reserved == 60);
   CHECK(b.reserved == 0);
 }
 
-TEST_CASE("in any order of queueing, giving and leaving the total is kept and no waiter starves") {
+TEST_CASE("given waiters queueing and leaving in any order, the total is kept and no waiter starves") {
   std::mt19937 random(11);
   for (int round = 0; round < 40; ++round) {
     ByteBudget budget(1000);
@@ -61,7 +61,7 @@
       total_kept = total_kept && reserved == budget.used() && reserved <= budget.total();
     }
     CHECK(total_kept);
-    for (int i = 0; i < 4'000; ++i) {  // nobody queues any more: the line moves until it is empty
+    for (int i = 0; i < 4'000; ++i) {  // No client queues any more, so the queue empties.
       Client& client = clients[i % 40];
       if (client.reserved == 0) continue;
       budget.Give(std::exchange(client.reserved, 0));
--- a/tests/flow/process_test.cpp
+++ b/tests/flow/process_test.cpp
@@ -1,4 +1,4 @@
-// Large values, slow clients and connection floods, with the real program over loopback.
+// Tests of large values, slow clients and connection floods, with the gateway program over loopback.
 #include <algorithm>
 #include <random>
 
@@ -11,12 +11,13 @@
 
 constexpr std::size_t kMegabyte = 1 << 20;
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::size_t kSanitizers = 1024 * kMegabyte;  // their own memory is not the program's
+// The sanitizers allocate memory that is not the program's.
+constexpr std::size_t kSanitizerBytes = 1024 * kMegabyte;
 #else
-constexpr std::size_t kSanitizers = 0;
+constexpr std::size_t kSanitizerBytes = 0;
 #endif
 
-std::string Value(std::size_t size, unsigned seed) {
+std::string RandomBulk(std::size_t size, unsigned seed) {
   std::mt19937 random(seed);
   std::string body(size, ' ');
   for (char& c : body) c = static_cast<char>(random());
@@ -24,9 +25,11 @@
   resp::AppendBulk(body, out);
   return out;
 }
-std::string Answer(const std::string& value) { return "*3\r\n" + value + "$-1\r\n$9\r\nutil=0.25\r\n"; }
+std::string UpstreamResponse(const std::string& value) {
+  return "*3\r\n" + value + "$-1\r\n$9\r\nutil=0.25\r\n";
+}
 
-TEST_CASE("a value in any fragments arrives byte for byte, and begins before it is complete") {
+TEST_CASE("given a value in any fragments, it arrives byte for byte, and a large one is streamed") {
   Site site(1);
   site.Start(1);
   Site::Held held = site.Hold("first");
@@ -35,14 +38,14 @@
   for (const std::size_t size : {65'536u, 65'537u, 300'000u, 4'194'304u}) {
     held.client.Send(Read("v" + std::to_string(size)));
     site.Grant();
-    held.upstream.Command();  // the connection is reused after each
-    const std::string value = Value(size, static_cast<unsigned>(size));
-    const std::string answer = Answer(value);
+    held.upstream.Command();  // The connection is reused after each value.
+    const std::string value = RandomBulk(size, static_cast<unsigned>(size));
+    const std::string response = UpstreamResponse(value);
     std::string got;
-    for (std::size_t at = 0; at < answer.size();) {
-      const std::size_t most = random() % 3 == 0 ? 1 + random() % 5 : 1 + random() % 200'000;
-      at += held.upstream.SendSome(std::string_view(answer).substr(at, most));
-      // The beginning of a large value is streamed to the client before the rest has arrived.
+    for (std::size_t at = 0; at < response.size();) {
+      const std::size_t max_size = random() % 3 == 0 ? 1 + random() % 5 : 1 + random() % 200'000;
+      at += held.upstream.SendSome(std::string_view(response).substr(at, max_size));
+      // The gateway streams the beginning of a large value to the client before the rest has arrived.
       if (size > 65'536 && at > 70'000 && got.empty()) got = held.client.Some(1 << 20);
       while (held.client.HasMore()) got += held.client.Some(1 << 20);
     }
@@ -51,20 +54,20 @@
   }
 }
 
-TEST_CASE("many large responses to slow readers stay within the memory limit") {
+TEST_CASE("given many large responses to slow readers, the gateway stays within its memory limit") {
   Site site(1, {{"limits", {{"memory_mb", 48}, {"sockets", 256}}}});
   site.Start(1);
-  const std::string value = Value(4 * kMegabyte, 5), answer = Answer(value);
-  constexpr std::size_t kClients = 24;  // twice the limit, if all were buffered
+  const std::string value = RandomBulk(4 * kMegabyte, 5), response = UpstreamResponse(value);
+  constexpr std::size_t kClients = 24;  // If all responses were buffered, they would need twice the limit.
   std::vector<Site::Held> held;
   for (std::size_t i = 0; i < kClients; ++i) held.push_back(site.Hold("m" + std::to_string(i)));
-  // Upstreams write as fast as they can; clients read a little in turn.
+  // The upstreams write as fast as they can, and the clients read a little in turn.
   std::vector<std::size_t> sent(kClients, 0), got(kClients, 0);
   bool same = true;
   while (std::any_of(got.begin(), got.end(), [&](std::size_t size) { return size < value.size(); }) && same) {
     for (std::size_t i = 0; i < kClients; ++i) {
-      if (sent[i] < answer.size())
-        sent[i] += held[i].upstream.SendSome(std::string_view(answer).substr(sent[i]));
+      if (sent[i] < response.size())
+        sent[i] += held[i].upstream.SendSome(std::string_view(response).substr(sent[i]));
       if (got[i] >= value.size()) continue;
       const std::string part = held[i].client.Some(std::size_t{32} * 1024);
       same = same && !part.empty() && value.compare(got[i], part.size(), part) == 0;
@@ -72,10 +75,10 @@
     }
   }
   CHECK(same);
-  CHECK(site.PeakMemory() < 24 * kMegabyte + kSanitizers);
+  CHECK(site.PeakMemory() < 24 * kMegabyte + kSanitizerBytes);
 }
 
-TEST_CASE("a streamed value that breaks off, waits for its turn, or loses its client") {
+TEST_CASE("given a streamed value that breaks off, waits or loses its client, no response is corrupted") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -85,41 +88,41 @@
   Peer first = site.upstream(0).Accept();
   Peer second = site.upstream(0).Accept();
   if (first.Command().at(2) != "a") std::swap(first, second);
-  const std::string value = Value(1 * kMegabyte, 6);
+  const std::string value = RandomBulk(1 * kMegabyte, 6);
   const std::string begun = "*3\r\n" + value.substr(0, 200'000);
 
-  SECTION("behind another response it waits, then goes on") {
-    second.Send(Answer(value).substr(0, 100'000));
-    site.Ping();  // what was sent before has been read
+  SECTION("when another response is ahead, it waits, then goes on") {
+    second.Send(UpstreamResponse(value).substr(0, 100'000));
+    site.Ping();  // The gateway has read what was sent before this ping.
     CHECK_FALSE(client.HasMore());
     first.Send(kValue);
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-    second.Send(Answer(value).substr(100'000));
+    second.Send(UpstreamResponse(value).substr(100'000));
     CHECK((client.Bytes(value.size()) == value));
   }
-  SECTION("after a protocol error pending responses behind it fail, and nothing is written into it") {
+  SECTION("when the client makes a protocol error, pending responses behind it fail and it stays intact") {
     first.Send(begun);
     client.Send("garbage\r\n");
     second.Command();
-    CHECK(second.Ended());  // the other request has been cancelled
+    CHECK(second.Ended());  // The gateway has cancelled the other request.
     first.Send(value.substr(200'000));
     CHECK((client.Bytes(value.size()) == value));
     CHECK(client.Line() == "-ERR failed\r\n");
     CHECK(client.Line().find("-ERR Protocol error") == 0);
     CHECK(client.Ended());
   }
-  SECTION("a client that disconnects cancels the attempt") {
+  SECTION("when its client disconnects, the attempt is cancelled") {
     first.Send(begun);
     client.Close();
     CHECK(first.Ended());
   }
-  SECTION("one that breaks off ends the client's connection, and nothing follows it") {
+  SECTION("when it breaks off, the client's connection is closed, and nothing follows it") {
     second.Send(kValue);
     first.Send(begun);
     std::string got = client.Bytes(150'000);
-    SECTION("it is reset") { first.Reset(); }
-    SECTION("it closes") { first.Close(); }
-    SECTION("its last line end is malformed") {
+    SECTION("the upstream's connection is reset") { first.Reset(); }
+    SECTION("the upstream closes the connection") { first.Close(); }
+    SECTION("the line end after the value is malformed") {
       first.Send(value.substr(200'000, value.size() - 200'002) + "xx");
     }
     got += client.Bytes(2 * kMegabyte);
@@ -128,13 +131,14 @@
   }
 }
 
-TEST_CASE("large bodies are read under the budget, first come first served, and forwarded unchanged") {
+TEST_CASE(
+    "given large bodies beyond the budget, they are read first come, first served, and forwarded unchanged") {
   const json order = {
       {"Name", "order"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "unsafe"}};
   Site site(1, {{"limits", {{"memory_mb", 32}, {"sockets", 256}}}, {"settings", {{"Classes", {order}}}}});
   site.Start(1);
   const std::string body(4 * kMegabyte, 'b');
-  constexpr std::size_t kClients = 8;  // 32 MB of bodies under a limit of 32 MB
+  constexpr std::size_t kClients = 8;  // The bodies are 32 MB in total, under a limit of 32 MB.
   std::vector<Peer> clients;
   std::vector<std::size_t> sent(kClients, 0);
   const auto command = [&body](std::size_t i) {
@@ -149,7 +153,7 @@
     }
   };
   write_all();
-  CHECK(site.Ping() == "+PONG\r\n");  // small commands do not wait in that line
+  CHECK(site.Ping() == "+PONG\r\n");  // Small commands do not wait in the queue for large ones.
   std::optional<Peer> upstream;
   for (std::size_t served = 0; served < kClients; ++served) {
     while (!site.calls().HasMore()) {
@@ -158,15 +162,15 @@
     }
     site.Grant();
     if (!upstream) upstream.emplace(site.upstream(0).Accept());
-    const auto came = upstream->Command();
-    CHECK((came.at(4) == body));
+    const auto received = upstream->Command();
+    CHECK((received.at(4) == body));
     upstream->Send(kValue);
-    CHECK(clients[static_cast<std::size_t>(came.at(2).at(1) - '0')].Until("hi\r\n") == "$2\r\nhi\r\n");
+    CHECK(clients[static_cast<std::size_t>(received.at(2).at(1) - '0')].Until("hi\r\n") == "$2\r\nhi\r\n");
   }
-  CHECK(site.PeakMemory() < 32 * kMegabyte + kSanitizers);
+  CHECK(site.PeakMemory() < 32 * kMegabyte + kSanitizerBytes);
 }
 
-TEST_CASE("a head may take two seconds, a stalled command times out, and its reservation goes to the next") {
+TEST_CASE("when a command stalls, it times out and frees its reservation, and a head may take two seconds") {
   Site site(1, {{"limits", {{"memory_mb", 32}}}});
   site.Start(1);
   const std::string head = "*5\r\n$9\r\nAPI.WRITE\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$4000000\r\n";
@@ -175,9 +179,9 @@
   for (int i = 0; i < 3; ++i) stalled.push_back(site.Client());
   Peer waiting = std::move(stalled.back());
   stalled.pop_back();
-  for (Peer& peer : stalled) peer.Send(head + "xx");  // two of 4 MB fill the budget of 8 ...
+  for (Peer& peer : stalled) peer.Send(head + "xx");  // Two commands of 4 MB use up the budget of 8 MB.
   site.Ping();
-  waiting.Send(head);  // ... and a third waits
+  waiting.Send(head);  // A third command waits for a reservation.
   Peer slow = site.Client();
   const std::string command = Read("s");
   for (std::size_t at = 0; at < command.size(); at += command.size() / 9) {
@@ -187,31 +191,33 @@
   site.Grant();
   CHECK(site.upstream(0).Accept().Command().at(2) == "s");
   for (Peer& peer : stalled) CHECK(peer.Line() == "-ERR Protocol error: command not finished in time\r\n");
-  const std::string rest =
-      std::string(4'000'000, 'x') + "\r\n";  // the reservation is free: what waited is read
+  // The reservation is released, so the gateway reads the command that waited.
+  const std::string rest = std::string(4'000'000, 'x') + "\r\n";
   for (std::size_t at = 0; at < rest.size(); usleep(500)) {
     at += waiting.SendSome(std::string_view(rest).substr(at));
   }
   CHECK(waiting.Line() == "-ERR bad customer\r\n");
 }
 
-TEST_CASE("sound clients are served during a flood of unfinished commands, and a shutdown ends it") {
-  Site site(1, {{"limits", {{"memory_mb", 24}, {"sockets", 96}}}});  // of which clients get fifty
+TEST_CASE(
+    "given a flood of unfinished commands, conforming clients are served, and a shutdown ends the process") {
+  // Of these sockets, client connections get fifty.
+  Site site(1, {{"limits", {{"memory_mb", 24}, {"sockets", 96}}}});
   site.Start(1);
   std::vector<Peer> flood;
-  const auto more = [&](int count) {
+  const auto add_flood_clients = [&](int count) {
     for (int i = 0; i < count; ++i) {
       flood.push_back(site.Client());
       if (i % 2 == 0) flood.back().SendSome("*4\r\n$8\r\nAPI.READ\r\n$16\r\n000");
     }
   };
-  more(120);
+  add_flood_clients(120);
   Peer slow = site.Client();
   const std::string command = Read("slow");
   slow.Send(command.substr(0, 50));
   std::optional<Peer> upstream;
   for (int i = 0; i < 6; ++i) {
-    more(10);
+    add_flood_clients(10);
     Peer quick = site.Client();
     quick.Send(Read("q"));
     site.Grant();
@@ -225,7 +231,7 @@
   CHECK(upstream->Command().at(2) == "slow");
   upstream->Send(kValue);
   CHECK(slow.Until("hi\r\n") == "$2\r\nhi\r\n");
-  more(60);
+  add_flood_clients(60);
   site.Terminate();
   CHECK(site.Wait() == 0);
 }
