--- a/src/net/gateway/accept_gate.cpp
+++ b/src/net/gateway/accept_gate.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kCheckInterval{20};
-constexpr std::chrono::milliseconds kMaxDelay{3'000};  // after which it accepts whether it can serve or not
+// After this delay the gateway accepts even if it can't serve.
+constexpr std::chrono::milliseconds kMaxDelay{3'000};
 
 }  // namespace
 
--- a/src/net/gateway/accept_gate.h
+++ b/src/net/gateway/accept_gate.h
@@ -1,5 +1,4 @@
-// Delays accepting from an inherited socket until the gateway can serve: until then the process before this
-// one, where there is one, accepts from it.
+// This module delays accepting from an inherited listening socket.
 #ifndef POSTSPREAD_NET_GATEWAY_ACCEPT_GATE_H_
 #define POSTSPREAD_NET_GATEWAY_ACCEPT_GATE_H_
 
@@ -9,11 +8,13 @@
 
 namespace postspread::net {
 
+// Delays accepting from an inherited socket until the gateway can serve. Until then the predecessor process,
+// if there is one, accepts from the socket.
 class AcceptGate {
  public:
   AcceptGate(event_base* base, const ServiceState& service_state, ClientListener& clients);
 
-  // Accepts once the gateway can serve, or has not been able to for too long.
+  // Starts accepting as soon as the gateway can serve, or when the maximum delay has passed.
   void Start();
   void Cancel() { timer_.Disarm(); }
 
--- a/src/net/gateway/action_router.cpp
+++ b/src/net/gateway/action_router.cpp
@@ -22,11 +22,11 @@
                  [this](const planner::SendDatagram& datagram) { executors_.peers.Send(datagram); },
                  [this](const planner::SendMembershipDatagram& datagram) { executors_.peers.Send(datagram); },
                  [this](planner::CallCounter& call) { executors_.counters.Call(std::move(call)); },
-                 [this](const planner::StartHealthCheck& probe) {
-                   executors_.pool.StartHealthCheck(probe.upstream);
+                 [this](const planner::StartHealthCheck& health_check) {
+                   executors_.pool.StartHealthCheck(health_check.upstream);
                  },
                  [](const planner::LogEvent& event) { Log("decisions", event.line); },
-                 [this](const auto& of_request) { executors_.requests.Execute(of_request); },
+                 [this](const auto& request_action) { executors_.requests.Execute(request_action); },
              },
              action);
 }
--- a/src/net/gateway/action_router.h
+++ b/src/net/gateway/action_router.h
@@ -1,4 +1,4 @@
-// Hands each of the planner's actions to the part of the gateway that executes it.
+// This module routes the planner's actions to the gateway's parts.
 #ifndef POSTSPREAD_NET_GATEWAY_ACTION_ROUTER_H_
 #define POSTSPREAD_NET_GATEWAY_ACTION_ROUTER_H_
 
@@ -10,6 +10,7 @@
 
 namespace postspread::net {
 
+// Passes each of the planner's actions to the part of the gateway that executes it.
 class ActionRouter final : public ActionExecutor {
  public:
   struct Executors {
--- a/src/net/gateway/admin_service.cpp
+++ b/src/net/gateway/admin_service.cpp
@@ -6,7 +6,7 @@
 namespace postspread::net {
 
 ops::Readiness AdminService::CheckReadiness() {
-  const bool ready = collaborators_.service_state.Ready();
+  const bool ready = collaborators_.service_state.RefreshReadiness();
   return {.is_ready = ready, .state = ops::Name(collaborators_.service_state.lifecycle().state())};
 }
 
--- a/src/net/gateway/admin_service.h
+++ b/src/net/gateway/admin_service.h
@@ -1,4 +1,4 @@
-// Carries out the operators' calls.
+// This module executes operators' calls.
 #ifndef POSTSPREAD_NET_GATEWAY_ADMIN_SERVICE_H_
 #define POSTSPREAD_NET_GATEWAY_ADMIN_SERVICE_H_
 
@@ -15,6 +15,7 @@
 
 namespace postspread::net {
 
+// Executes operators' calls on the parts of the gateway.
 class AdminService final : public ops::AdminHandler {
  public:
   struct Collaborators {
--- a/src/net/gateway/admission_control.cpp
+++ b/src/net/gateway/admission_control.cpp
@@ -12,12 +12,12 @@
   using std::chrono::milliseconds;
   using Reason = ops::RejectReason;
   const std::chrono::microseconds longest_deadline = LongestDeadline(settings_);
-  if (!lifecycle_.TakesRequests(now, longest_deadline)) return {.rejected = Reason::kDraining};
+  if (!lifecycle_.AdmitsRequests(now, longest_deadline)) return {.rejected = Reason::kDraining};
   if (in_flight_.size() >= max_in_flight_) return {.rejected = Reason::kTooManyInFlight};
-  // While the loop was stalled the request may have waited unread, and its client with it.
+  // The request may have waited unread while the event loop was stalled, which counts against its timeout.
   milliseconds timeout = request.timeout - floor<milliseconds>(loop_monitor_.StallBefore(now));
   if (lifecycle_.stopping()) {
-    timeout = std::min(timeout, floor<milliseconds>(lifecycle_.AnswerBy(longest_deadline) - now));
+    timeout = std::min(timeout, floor<milliseconds>(lifecycle_.ResponseDeadline(longest_deadline) - now));
   }
   if (timeout.count() <= 0) return {.rejected = Reason::kDeadlineExceeded};
   if (!in_flight_.Reserve(encoded)) return {.rejected = Reason::kNoMemory};
--- a/src/net/gateway/admission_control.h
+++ b/src/net/gateway/admission_control.h
@@ -1,4 +1,4 @@
-// Admission checks that come before the planner's: lifecycle, capacity and time left.
+// This module makes the admission checks that precede the planner's decision.
 #ifndef POSTSPREAD_NET_GATEWAY_ADMISSION_CONTROL_H_
 #define POSTSPREAD_NET_GATEWAY_ADMISSION_CONTROL_H_
 
@@ -16,10 +16,13 @@
 namespace postspread::net {
 
 struct AdmissionDecision {
-  std::optional<ops::RejectReason> rejected;  // nothing: the request is admitted
-  std::chrono::milliseconds timeout{0};       // of an admitted request: what is left of its own
+  // This is empty where the request is admitted.
+  std::optional<ops::RejectReason> rejected;
+  // An admitted request has this much of its timeout left.
+  std::chrono::milliseconds timeout{0};
 };
 
+// Admits or rejects a request by the lifecycle state, the capacity that is free and the time that is left.
 class AdmissionControl {
  public:
   struct Collaborators {
@@ -35,7 +38,7 @@
         in_flight_(collaborators.in_flight),
         max_in_flight_(max_in_flight) {}
 
-  // The bytes of a request that is admitted are reserved in the requests in flight.
+  // Decides on a request. The bytes of an admitted request are reserved among the requests in flight.
   AdmissionDecision Admit(const Request& request, const resp::EncodedRequest& encoded, Clock::time_point now);
 
  private:
--- a/src/net/gateway/counter_connections.cpp
+++ b/src/net/gateway/counter_connections.cpp
@@ -14,7 +14,10 @@
 
 CounterConnections::CounterConnections(event_base* base, const Settings& settings,
                                        const std::optional<config::Address>& address, PlannerDriver& driver)
-    : base_(base), settings_(settings), driver_(driver), close_retired_(base, [this] { CloseRetired(); }) {
+    : base_(base),
+      settings_(settings),
+      driver_(driver),
+      close_retired_timer_(base, [this] { CloseRetired(); }) {
   if (address) Dial(*address);
 }
 
@@ -22,8 +25,9 @@
   if (connections_.empty()) {
     return OnCounterReply({.name = std::move(call.name), .result = planner::CounterResult::kUnreachable});
   }
-  // Replies must come in the order of a name's calls: a name that has a call under way on a retired
-  // connection is called there. The retired one serves until the current one is up.
+  // Results for one name must be reported in the order of its calls, so a name with a pending call on a
+  // retired connection is called on that connection. Other names use a retired connection until the current
+  // one is up.
   for (CounterClient& connection : connections_) {
     if (connection.Awaits(call.name)) return connection.Call(std::move(call));
   }
@@ -37,7 +41,7 @@
   if (connections_.empty() || connections_.back().address() == address) return;
   for (CounterClient& connection : connections_) connection.Retire();
   Dial(address);
-  close_retired_.Arm(kRetiredCheckInterval);
+  close_retired_timer_.Arm(kRetiredCheckInterval);
 }
 
 void CounterConnections::OnCounterReply(planner::CounterReport report) { driver_.Report(std::move(report)); }
@@ -47,14 +51,15 @@
                             static_cast<CounterListener&>(*this));
 }
 
-// A retired connection is closed once it has no call under way and the current one is up, or once it is lost.
+// Closes each retired connection that has no pending call, once the current connection is up or the retired
+// one is lost.
 void CounterConnections::CloseRetired() {
   const bool replaced = connections_.back().up();
   for (auto it = connections_.begin(); std::next(it) != connections_.end();) {
     const bool done = !it->AwaitsAny() && (replaced || !it->up());
     it = done ? connections_.erase(it) : std::next(it);
   }
-  if (connections_.size() > 1) close_retired_.Arm(kRetiredCheckInterval);
+  if (connections_.size() > 1) close_retired_timer_.Arm(kRetiredCheckInterval);
 }
 
 }  // namespace postspread::net
--- a/src/net/gateway/counter_connections.h
+++ b/src/net/gateway/counter_connections.h
@@ -1,4 +1,4 @@
-// The connection to the shared counter, and those to its former addresses until their calls have ended.
+// This module manages the connections to the shared counter.
 #ifndef POSTSPREAD_NET_GATEWAY_COUNTER_CONNECTIONS_H_
 #define POSTSPREAD_NET_GATEWAY_COUNTER_CONNECTIONS_H_
 
@@ -13,17 +13,20 @@
 
 namespace postspread::net {
 
+// Owns the connection to the current address of the shared counter. It keeps connections to former addresses
+// until their calls have ended.
 class CounterConnections final : private CounterListener {
  public:
-  // Without an address every call fails as unreachable. `settings` are read at each dial.
+  // Without an address every call fails as unreachable. The timeouts are read from `settings` at each dial.
   CounterConnections(event_base* base, const Settings& settings,
                      const std::optional<config::Address>& address, PlannerDriver& driver);
 
-  // The result is reported to the planner, for one name in the order of its calls.
+  // Executes the call and reports its result to the planner. Results for one name are reported in the order
+  // of the calls.
   void Call(planner::CallCounter call);
-  // Dials another address; the former connection is retired. Nothing where there is no counter.
+  // Dials `address` and retires the former connection. Does nothing where no counter is configured.
   void MoveTo(const config::Address& address);
-  // Whether the counter is connected, or none is configured.
+  // Returns whether the counter is connected, or no counter is configured.
   [[nodiscard]] bool IsConnected() const { return connections_.empty() || connections_.back().up(); }
 
  private:
@@ -34,8 +37,9 @@
   event_base* base_;
   const Settings& settings_;
   PlannerDriver& driver_;
-  std::list<CounterClient> connections_;  // the last is the current one, those before it are retired
-  Timer close_retired_;
+  // The last connection is the current one; those before it are retired.
+  std::list<CounterClient> connections_;
+  Timer close_retired_timer_;
 };
 
 }  // namespace postspread::net
--- a/src/net/gateway/endpoint_registry.cpp
+++ b/src/net/gateway/endpoint_registry.cpp
@@ -5,9 +5,9 @@
 namespace postspread::net {
 
 EndpointRegistry::EndpointRegistry(UpstreamPool& pool, PlannerDriver& driver,
-                                   const config::EndpointList& remembered)
+                                   const config::EndpointList& persisted)
     : pool_(pool), driver_(driver) {
-  Apply(remembered, EndpointUpdateKind::kPersisted);
+  Apply(persisted, EndpointUpdateKind::kPersisted);
 }
 
 void EndpointRegistry::Update(const config::EndpointList& endpoint_list) {
--- a/src/net/gateway/endpoint_registry.h
+++ b/src/net/gateway/endpoint_registry.h
@@ -1,4 +1,4 @@
-// The upstreams that discovery's endpoint list names: hands each update to the pool and the planner.
+// This module applies discovery's endpoint list.
 #ifndef POSTSPREAD_NET_GATEWAY_ENDPOINT_REGISTRY_H_
 #define POSTSPREAD_NET_GATEWAY_ENDPOINT_REGISTRY_H_
 
@@ -12,12 +12,15 @@
 
 namespace postspread::net {
 
+// Passes each update of the endpoint list to the upstream pool and the planner, and records which upstreams
+// are ready.
 class EndpointRegistry {
  public:
-  // `remembered`: the list that the configuration brings from an earlier run.
-  EndpointRegistry(UpstreamPool& pool, PlannerDriver& driver, const config::EndpointList& remembered);
+  // `persisted` is the endpoint list of an earlier run, which the configuration contains.
+  EndpointRegistry(UpstreamPool& pool, PlannerDriver& driver, const config::EndpointList& persisted);
 
-  // An update from discovery. The planner learns of it before it learns of the attempts that it ends.
+  // Applies an update from discovery. The planner receives the update before the reports of the attempts that
+  // the update ends.
   void Update(const config::EndpointList& endpoint_list);
   [[nodiscard]] std::size_t ready_upstreams() const { return ready_.size(); }
 
@@ -26,7 +29,8 @@
 
   UpstreamPool& pool_;
   PlannerDriver& driver_;
-  std::unordered_set<std::string> ready_;  // names of upstreams
+  // Contains the names of the upstreams that are ready.
+  std::unordered_set<std::string> ready_;
 };
 
 }  // namespace postspread::net
--- a/src/net/gateway/gateway_setup.h
+++ b/src/net/gateway/gateway_setup.h
@@ -1,4 +1,4 @@
-// What the configuration and the operator file mean for the parts of the gateway.
+// This module translates the configuration and the operator file into the options of the gateway's parts.
 #ifndef POSTSPREAD_NET_GATEWAY_GATEWAY_SETUP_H_
 #define POSTSPREAD_NET_GATEWAY_GATEWAY_SETUP_H_
 
@@ -14,10 +14,10 @@
 
 namespace postspread::net {
 
-// What clients' commands are checked against.
+// Returns the names and bounds that clients' commands are checked against.
 resp::Vocabulary ToVocabulary(const Settings& settings);
 
-// The gateways of this group; nothing where no datagram is sent to them.
+// Returns the gateways of this group, or nothing where no feature that sends datagrams to them is enabled.
 std::optional<config::Peers> ToPeerGroup(const config::Config& config,
                                          const operator_file::OperatorFile& operators);
 
@@ -27,11 +27,11 @@
 
 flow::ResourcePartition ToResourcePartition(const config::Config& config);
 
-// Of all classes.
+// Returns the longest deadline of all classes.
 std::chrono::microseconds LongestDeadline(const Settings& settings);
 
-// Whether what was loaded differs from what is running in anything that only a restart applies. The names of
-// the plans are compared by the planner.
+// These return whether the loaded file differs from the running one in a setting that only a restart applies.
+// The planner compares the names of the plans.
 bool NeedsRestart(const config::Config& running, const config::Config& loaded);
 bool NeedsRestart(const operator_file::OperatorFile& running, const operator_file::OperatorFile& loaded);
 
--- a/src/net/gateway/graceful_shutdown.cpp
+++ b/src/net/gateway/graceful_shutdown.cpp
@@ -11,9 +11,11 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kKeepServing{500};  // while new connections go on coming
+// New connections still arrive for this long after SIGTERM.
+constexpr std::chrono::milliseconds kAcceptGrace{500};
 constexpr std::chrono::milliseconds kCheckInterval{20};
-constexpr std::chrono::milliseconds kLastResponses{50};  // for clients to read them
+// Clients get this long to read the last responses.
+constexpr std::chrono::milliseconds kResponseReadTime{50};
 
 }  // namespace
 
@@ -26,10 +28,10 @@
 
 void GracefulShutdown::Start() {
   if (collaborators_.service_state.lifecycle().stopping()) return;
-  collaborators_.service_state.Stop();
+  collaborators_.service_state.BeginShutdown();
   Log("draining", "shutdown requested");
   collaborators_.driver.Execute(collaborators_.planner.Leave(Clock::now()));
-  if (listen_socket_ == ListenSocket::kOwned) return timer_.Arm(kKeepServing);
+  if (listen_socket_ == ListenSocket::kOwned) return timer_.Arm(kAcceptGrace);
   collaborators_.accept_gate.Cancel();
   collaborators_.clients.LeaveInherited();
   collaborators_.clients.StartDraining(ops::kHandOverDrain, ops::CloseReason::kStopping);
@@ -39,13 +41,14 @@
 void GracefulShutdown::Advance() {
   const ops::Lifecycle& lifecycle = collaborators_.service_state.lifecycle();
   const std::chrono::microseconds longest_deadline = LongestDeadline(collaborators_.settings);
-  collaborators_.clients.Drain(lifecycle.CommandsUntil(longest_deadline));
+  collaborators_.clients.Drain(lifecycle.CommandDeadline(longest_deadline));
   const auto now = Clock::now();
-  const Clock::time_point answer_by = lifecycle.AnswerBy(longest_deadline);
-  if (now >= answer_by) collaborators_.requests.FailAllAwaited();
-  // A client that is slow to close is waited for until the platform may kill the process, and no longer; one
-  // that is still reading its responses, until it does.
-  const bool timed_out = now >= answer_by + kLastResponses && collaborators_.clients.OnlyDelivered();
+  const Clock::time_point response_deadline = lifecycle.ResponseDeadline(longest_deadline);
+  if (now >= response_deadline) collaborators_.requests.FailAllAwaited();
+  // The gateway waits for a client that has all its responses only until the platform may kill the process.
+  // For a client that is still reading its responses it waits until the platform kills the process.
+  const bool timed_out =
+      now >= response_deadline + kResponseReadTime && collaborators_.clients.OnlyDelivered();
   if (collaborators_.clients.empty() || timed_out) return Finish();
   timer_.Arm(kCheckInterval);
 }
--- a/src/net/gateway/graceful_shutdown.h
+++ b/src/net/gateway/graceful_shutdown.h
@@ -1,4 +1,4 @@
-// The way from SIGTERM to the end of the event loop.
+// This module shuts the gateway down, from SIGTERM to the end of the event loop.
 #ifndef POSTSPREAD_NET_GATEWAY_GRACEFUL_SHUTDOWN_H_
 #define POSTSPREAD_NET_GATEWAY_GRACEFUL_SHUTDOWN_H_
 
@@ -16,14 +16,14 @@
 
 namespace postspread::net {
 
-// Keeps serving for a while, as new connections go on coming. Then stops accepting, and closes each client
-// connection once its requests are answered. Shortly before the platform may kill the process, requests that
-// are still in flight fail.
+// At first the gateway goes on serving, since new connections still arrive. Then it stops accepting, and
+// closes each client connection once its requests have their responses. Shortly before the platform may kill
+// the process, requests that are still in flight fail.
 class GracefulShutdown {
  public:
   enum class ListenSocket {
     kOwned,
-    kInherited,  // other processes accept from it: this one stops at once
+    kInherited,  // Other processes accept from the socket, so this process stops accepting at once.
   };
   struct Collaborators {
     const Settings& settings;
@@ -39,7 +39,7 @@
   };
   GracefulShutdown(event_base* base, ListenSocket listen_socket, const Collaborators& collaborators);
 
-  // Begins it; nothing where it has begun.
+  // Begins the shutdown. Does nothing where it has begun.
   void Start();
 
  private:
--- a/src/net/gateway/idempotency_log.h
+++ b/src/net/gateway/idempotency_log.h
@@ -1,4 +1,4 @@
-// Logs what the idempotency store did, at most once an interval.
+// This module logs the activity of the idempotency store.
 #ifndef POSTSPREAD_NET_GATEWAY_IDEMPOTENCY_LOG_H_
 #define POSTSPREAD_NET_GATEWAY_IDEMPOTENCY_LOG_H_
 
@@ -8,19 +8,20 @@
 
 namespace postspread::net {
 
-// Does nothing where the store is off.
+// Logs what the idempotency store did, at most once an interval. Does nothing where the store is disabled.
 class IdempotencyLog {
  public:
   IdempotencyLog(event_base* base, planner::Planner& planner);
 
-  // Logs from now on, once an interval in which anything was done.
+  // Starts logging: one line for each interval in which the store did anything.
   void Start();
-  // Logs now what was done since the last line, if anything was.
+  // Logs at once what the store did since the last line, if it did anything.
   void LogChanges();
 
  private:
   planner::Planner& planner_;
-  idempotency::Counts logged_;  // at the last line
+  // These are the counts in the last line.
+  idempotency::Counts logged_;
   Timer timer_;
 };
 
--- a/src/net/gateway/in_flight_requests.h
+++ b/src/net/gateway/in_flight_requests.h
@@ -1,4 +1,4 @@
-// The requests that have no final response yet, and the bytes that they hold.
+// This module stores the requests in flight.
 #ifndef POSTSPREAD_NET_GATEWAY_IN_FLIGHT_REQUESTS_H_
 #define POSTSPREAD_NET_GATEWAY_IN_FLIGHT_REQUESTS_H_
 
@@ -15,32 +15,40 @@
 
 namespace postspread::net {
 
+// Describes a request that has been admitted and has no final response yet.
 struct InFlightRequest {
   resp::EncodedRequest encoded;
-  RetrySafety retry_safety = RetrySafety::kIdempotent;  // of its class when it was admitted
-  std::vector<safety::EarlierAttempt> attempts{};       // by attempt number
-  ResponseWriter* writer = nullptr;  // null: its client has disconnected, and others need its result
+  // This is the retry safety that the request's class had when the request was admitted.
+  RetrySafety retry_safety = RetrySafety::kIdempotent;
+  // The index is the attempt number.
+  std::vector<safety::EarlierAttempt> attempts{};
+  // This is null where the client has disconnected and other requests need the result.
+  ResponseWriter* writer = nullptr;
   ResponseWriter::Slot slot = 0;
-  ops::ClassMetrics* metrics = nullptr;  // of its class
+  // These are the metrics of the request's class.
+  ops::ClassMetrics* metrics = nullptr;
 };
 
+// Owns the requests that have no final response yet, and bounds the bytes that they use.
 class InFlightRequests {
  public:
-  // Encoded requests are charged to `requests`, those longer than a command's head to `large_requests`.
+  // A request that is longer than the maximum head of a command is charged to `large_requests`, and any other
+  // to `requests`.
   InFlightRequests(flow::ByteBudget& requests, flow::ByteBudget& large_requests)
       : requests_budget_(requests), large_requests_budget_(large_requests) {}
 
-  // Reserves the bytes of a request that is to be added. False: the budget is used up.
+  // Reserves the bytes of a request before it is added. Returns false where the budget is used up.
   bool Reserve(const resp::EncodedRequest& encoded);
-  // The bytes of `request` have been reserved.
+  // Adds a request whose bytes have been reserved.
   void Add(RequestId id, InFlightRequest request);
-  // Null where it is not in flight. Holds until the request is released.
+  // Returns null where the request is not in flight. The pointer is valid until the request is released.
   [[nodiscard]] InFlightRequest* Find(RequestId id);
-  // Ends the request: whoever takes it from here owns its final response. Nothing where it has ended before.
+  // Removes the request and releases its bytes. The caller must send its final response. Returns nothing
+  // where the request has ended before.
   std::optional<InFlightRequest> Release(RequestId id);
 
   [[nodiscard]] std::size_t size() const { return in_flight_.size(); }
-  // Those whose client waits for the response.
+  // Returns the requests whose client waits for the response.
   [[nodiscard]] std::vector<RequestId> Awaited() const;
 
  private:
--- a/src/net/gateway/membership_report.cpp
+++ b/src/net/gateway/membership_report.cpp
@@ -36,7 +36,7 @@
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
   const membership::View view = membership.view();
-  char hash[17];  // 16 digits and the end
+  char hash[17];  // The buffer holds 16 digits and the terminating zero.
   std::snprintf(hash, sizeof hash, "%016llx", static_cast<unsigned long long>(view.hash));
   nlohmann::json members = nlohmann::json::array();
   for (const membership::Member& member : view.members) {
--- a/src/net/gateway/membership_report.h
+++ b/src/net/gateway/membership_report.h
@@ -1,4 +1,4 @@
-// The membership view as operators see it: metrics and JSON.
+// This module renders the membership view for operators, as metrics and as JSON.
 #ifndef POSTSPREAD_NET_GATEWAY_MEMBERSHIP_REPORT_H_
 #define POSTSPREAD_NET_GATEWAY_MEMBERSHIP_REPORT_H_
 
--- a/src/net/gateway/peer_datagrams.h
+++ b/src/net/gateway/peer_datagrams.h
@@ -1,4 +1,4 @@
-// The datagrams to and from other gateways, all under one budget.
+// This module exchanges datagrams with other gateways.
 #ifndef POSTSPREAD_NET_GATEWAY_PEER_DATAGRAMS_H_
 #define POSTSPREAD_NET_GATEWAY_PEER_DATAGRAMS_H_
 
@@ -16,20 +16,21 @@
 
 namespace postspread::net {
 
-// Datagrams that come in are reported to the planner. What the budget does not allow is not sent.
+// Reports received datagrams to the planner, and sends those that the planner requests. One budget bounds all
+// that are sent over the group's socket; a datagram that exceeds it is dropped.
 class PeerDatagrams {
  public:
   PeerDatagrams(const config::Config& config, PlannerDriver& driver)
       : config_(config), driver_(driver), budget_(config.settings.peer_messages_per_second) {}
 
-  // Opens the sockets that the operator file asks for; until then nothing is sent. Throws std::runtime_error
-  // where an address can't be bound.
+  // Opens the sockets that the operator file requires; before that, nothing is sent. Throws
+  // std::runtime_error where an address can't be bound.
   void Open(event_base* base, const operator_file::OperatorFile& operators);
 
   void Send(const planner::SendDatagram& datagram);
   void Send(const planner::SendMembershipDatagram& datagram);
 
-  // The address of a peer in the membership view, as text.
+  // Returns the address of a peer in the membership view, as text.
   [[nodiscard]] std::string AddressOf(std::uint64_t peer) const;
   void SetRate(double datagrams_per_second) { budget_.SetRate(datagrams_per_second); }
   [[nodiscard]] std::uint64_t throttled() const { return budget_.throttled(); }
@@ -38,8 +39,10 @@
   const config::Config& config_;
   PlannerDriver& driver_;
   flow::DatagramBudget budget_;
-  std::optional<PeerLink> group_;       // to the gateways of this group, by rank
-  std::optional<PeerLink> membership_;  // where the membership view has a socket of its own
+  // This socket exchanges datagrams with the gateways of this group, which are identified by rank.
+  std::optional<PeerLink> group_;
+  // This socket exists where the membership view has a socket of its own.
+  std::optional<PeerLink> membership_;
 };
 
 }  // namespace postspread::net
--- a/src/net/gateway/planner_driver.h
+++ b/src/net/gateway/planner_driver.h
@@ -1,4 +1,4 @@
-// Calls the planner and has its actions executed, one batch at a time.
+// This module connects the event loop and the planner.
 #ifndef POSTSPREAD_NET_GATEWAY_PLANNER_DRIVER_H_
 #define POSTSPREAD_NET_GATEWAY_PLANNER_DRIVER_H_
 
@@ -12,7 +12,7 @@
 
 namespace postspread::net {
 
-// Executes a planner's action at once.
+// Executes an action of the planner at once.
 class ActionExecutor {
  public:
   virtual void Execute(planner::Action& action) = 0;
@@ -21,17 +21,18 @@
   ~ActionExecutor() = default;
 };
 
-// The planner is not reentrant: a report made while actions are being executed is queued, and delivered once
-// the batch is complete. Runs the planner's timer as well.
+// Delivers reports and timer ticks to the planner, and executes the actions that it returns, one batch at a
+// time. The planner is not reentrant, so a report that is made while actions are executed is queued until the
+// batch is complete.
 class PlannerDriver {
  public:
   PlannerDriver(event_base* base, planner::Planner& planner, ActionExecutor& executor);
 
-  // Delivers the report now, or after the batch of actions that is being executed.
+  // Delivers the report at once, or after the current batch of actions where one is being executed.
   void Report(planner::ReportValue report);
-  // Applies `change`, and delivers `report` before all that is reported from within it.
+  // Calls `change`, and delivers `report` before any report that is made from within `change`.
   void ReportBefore(planner::ReportValue report, const std::function<void()>& change);
-  // Executes a batch; the caller follows it with DeliverReports once its own state is consistent.
+  // Executes a batch of actions. The caller must then call DeliverReports, once its own state is consistent.
   void Execute(planner::Actions actions);
   void DeliverReports();
   // Arms the timer for the planner's next tick.
@@ -43,7 +44,8 @@
   planner::Planner& planner_;
   ActionExecutor& executor_;
   bool executing_ = false;
-  std::deque<planner::ReportValue> reports_;  // queued while executing
+  // Contains the reports that are queued while actions are executed.
+  std::deque<planner::ReportValue> reports_;
   std::optional<Clock::time_point> armed_for_;
   Timer tick_;
 };
--- a/src/net/gateway/request_dispatcher.cpp
+++ b/src/net/gateway/request_dispatcher.cpp
@@ -14,7 +14,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr RequestId kNoRequest = 0;  // of one that the planner was not asked for
+// This stands for a request that was rejected before the planner assigned an id; the planner never assigns 0.
+constexpr RequestId kNoRequest = 0;
 
 RetrySafety RetrySafetyOf(const Settings& settings, std::string_view class_name) {
   const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
@@ -76,7 +77,7 @@
 
 void RequestDispatcher::FailAllAwaited() {
   for (const RequestId request : in_flight_.Awaited()) {
-    // Failing one may end others.
+    // Failing one request may end others.
     const InFlightRequest* in_flight = in_flight_.Find(request);
     if (in_flight == nullptr || in_flight->writer == nullptr) continue;
     ResponseWriter& writer = *in_flight->writer;
@@ -102,7 +103,7 @@
   }
   request->attempts.resize(static_cast<std::size_t>(action.attempt) + 1);
   request->attempts.back().in_flight = true;
-  // A copy: the attempt may end within the call, and the request with it.
+  // The call gets a copy, since the attempt may end within the call, and the request may be released then.
   const resp::EncodedRequest encoded = request->encoded;
   pool_.StartAttempt({action.request, action.attempt}, action.upstream, encoded, action.timeout,
                      action.begin_within);
@@ -182,7 +183,7 @@
                                   .slot = request->slot,
                                   .attempt = report.attempt,
                                   .metrics = request->metrics});
-  // For the planner the attempt has ended: what is left is the transfer to the client.
+  // For the planner the attempt has ended, since only the transfer to the client remains.
   driver_.Report(report);
   return Value::kPass;
 }
--- a/src/net/gateway/request_dispatcher.h
+++ b/src/net/gateway/request_dispatcher.h
@@ -1,4 +1,4 @@
-// The path of a request: admission, the planner's decisions on it, its delivery attempts, its final response.
+// This module moves a request from its admission to its final response.
 #ifndef POSTSPREAD_NET_GATEWAY_REQUEST_DISPATCHER_H_
 #define POSTSPREAD_NET_GATEWAY_REQUEST_DISPATCHER_H_
 
@@ -18,8 +18,9 @@
 
 namespace postspread::net {
 
-// A request ends in one place: where it is released from the requests in flight. Whoever releases it sends
-// its final response, so that it gets one and no more.
+// Admits requests, asks the planner for decisions, starts delivery attempts and sends final responses. A
+// request ends when it is released from the requests in flight. The code that releases it sends its final
+// response, so that each request gets exactly one.
 class RequestDispatcher final : public RequestHandler, public AttemptListener {
  public:
   struct Collaborators {
@@ -35,7 +36,7 @@
   };
   explicit RequestDispatcher(const Collaborators& collaborators);
 
-  // The planner's actions on a request.
+  // Each of these executes one of the planner's actions on a request.
   void Execute(const planner::StartAttempt& action);
   void Execute(const planner::RejectWithRetryAfter& action);
   void Execute(const planner::FailRequest& action);
@@ -43,11 +44,11 @@
   void Execute(const planner::ReleaseRequest& action);
   void Execute(const planner::CancelAttempt& action);
 
-  // Fails every request whose client still waits: at the end of a shutdown a failure is a response, too.
+  // Fails every request whose client still waits, so that each has a response at the end of a shutdown.
   void FailAllAwaited();
 
   // RequestHandler
-  bool Ready() override { return service_state_.Ready(); }
+  bool Ready() override { return service_state_.RefreshReadiness(); }
   RequestId HandleRequest(const Request& request, resp::EncodedRequest encoded, ResponseWriter& writer,
                           ResponseWriter::Slot slot) override;
   void OnClientDisconnect(RequestId request) override;
--- a/src/net/gateway/response_streams.h
+++ b/src/net/gateway/response_streams.h
@@ -1,4 +1,4 @@
-// Responses whose value is large and is passed from the upstream to the client as it comes.
+// This module streams large response values.
 #ifndef POSTSPREAD_NET_GATEWAY_RESPONSE_STREAMS_H_
 #define POSTSPREAD_NET_GATEWAY_RESPONSE_STREAMS_H_
 
@@ -12,30 +12,36 @@
 
 namespace postspread::net {
 
+// Describes a response that is being streamed.
 struct StreamingResponse {
   ResponseWriter* writer = nullptr;
   ResponseWriter::Slot slot = 0;
-  int attempt = 0;  // that its value comes from
+  // The value comes from this attempt.
+  int attempt = 0;
+  // These are the metrics of the request's class.
   ops::ClassMetrics* metrics = nullptr;
 };
 
+// Passes large values from the upstream to the client as they arrive, without buffering them whole.
 class ResponseStreams {
  public:
   ResponseStreams(UpstreamPool& pool, const flow::ResourcePartition& partition)
       : pool_(pool), partition_(partition) {}
 
-  // Begins the response at its client's connection. The request is no longer in flight: its result is known.
+  // Begins the response on its client's connection. The request is no longer in flight: its result is known.
   void Begin(RequestId request, const StreamingResponse& response);
-  // How many bytes the client's connection takes now.
+  // Returns how many bytes the client's connection can buffer now.
   [[nodiscard]] std::size_t Capacity(RequestId request) const;
   // Moves `size` bytes from the front of `from` to the client's connection.
   void Write(RequestId request, evbuffer* from, std::size_t size);
-  // The value has come to its end, or broken off: ends or aborts the response, and counts it.
+  // Complete ends the response after its last byte, and Abort ends it where the value broke off. Both count
+  // the request.
   void Complete(RequestId request);
   void Abort(RequestId request);
-  // The client's connection takes bytes again.
+  // Resumes reading from the upstream, since the client's connection has capacity again.
   void Resume(RequestId request);
-  // The client has disconnected: its upstream connection is closed. False where the request has no stream.
+  // Closes the upstream connection of a stream whose client has disconnected. Returns false where the request
+  // has no stream.
   bool Cancel(RequestId request);
 
   [[nodiscard]] std::size_t size() const { return streams_.size(); }
--- a/src/net/gateway/service_state.cpp
+++ b/src/net/gateway/service_state.cpp
@@ -8,25 +8,28 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kStartGrace{1'000};  // for discovery and the counter to respond
+// The gateway waits at most this long for discovery and the counter to respond.
+constexpr std::chrono::milliseconds kStartupGrace{1'000};
 
 }  // namespace
 
 ServiceState::ServiceState(event_base* base, ops::Lifecycle& lifecycle, const Dependencies& dependencies)
-    : lifecycle_(lifecycle), dependencies_(dependencies), grace_(base, [this] { grace_is_over_ = true; }) {
-  grace_.Arm(kStartGrace);
+    : lifecycle_(lifecycle),
+      dependencies_(dependencies),
+      startup_grace_(base, [this] { startup_grace_over_ = true; }) {
+  startup_grace_.Arm(kStartupGrace);
 }
 
 bool ServiceState::CanServe() const {
   const bool connected = dependencies_.counters.IsConnected() && dependencies_.discovery.has_list();
-  return dependencies_.endpoints.ready_upstreams() > 0 && (connected || grace_is_over_);
+  return dependencies_.endpoints.ready_upstreams() > 0 && (connected || startup_grace_over_);
 }
 
-bool ServiceState::Ready() {
+bool ServiceState::RefreshReadiness() {
   using Dependencies = ops::Lifecycle::Dependencies;
   lifecycle_.SetDependencies(CanServe() ? Dependencies::kAvailable : Dependencies::kUnavailable);
   LogChange();
-  return lifecycle_.serves();
+  return lifecycle_.serving();
 }
 
 ops::AdminResult ServiceState::Drain() {
@@ -41,8 +44,8 @@
   return result;
 }
 
-void ServiceState::Stop() {
-  lifecycle_.Stop(Clock::now());
+void ServiceState::BeginShutdown() {
+  lifecycle_.BeginShutdown(Clock::now());
   LogChange();
 }
 
--- a/src/net/gateway/service_state.h
+++ b/src/net/gateway/service_state.h
@@ -1,4 +1,4 @@
-// Whether the gateway serves: its lifecycle, by the state of what it depends on.
+// This module derives the lifecycle state of the gateway from the state of its dependencies.
 #ifndef POSTSPREAD_NET_GATEWAY_SERVICE_STATE_H_
 #define POSTSPREAD_NET_GATEWAY_SERVICE_STATE_H_
 
@@ -11,7 +11,8 @@
 
 namespace postspread::net {
 
-// Logs each change of the lifecycle's state once.
+// Updates the lifecycle by the state of the dependencies and by operators' calls, and logs each change of the
+// lifecycle state once.
 class ServiceState {
  public:
   struct Dependencies {
@@ -21,15 +22,16 @@
   };
   ServiceState(event_base* base, ops::Lifecycle& lifecycle, const Dependencies& dependencies);
 
-  // Whether a request could be served, whatever the operators' calls say. An outage of the counter or of
-  // discovery keeps no gateway that has upstreams from starting: both have a grace period and no more.
+  // Returns whether the gateway could serve a request, regardless of operators' calls. An outage of the
+  // counter or of discovery must not prevent a gateway that has upstreams from starting, so it waits for them
+  // only for a grace period.
   [[nodiscard]] bool CanServe() const;
-  // Brings the lifecycle up to date; whether it is serving now.
-  bool Ready();
+  // Updates the lifecycle by the state of the dependencies, and returns whether the gateway is serving.
+  bool RefreshReadiness();
 
   ops::AdminResult Drain();
   ops::AdminResult Activate();
-  void Stop();
+  void BeginShutdown();
   [[nodiscard]] const ops::Lifecycle& lifecycle() const { return lifecycle_; }
 
  private:
@@ -38,8 +40,8 @@
   ops::Lifecycle& lifecycle_;
   Dependencies dependencies_;
   ops::Lifecycle::State logged_state_ = ops::Lifecycle::State::kStarting;
-  bool grace_is_over_ = false;
-  Timer grace_;
+  bool startup_grace_over_ = false;
+  Timer startup_grace_;
 };
 
 }  // namespace postspread::net
--- a/src/ops/admin_calls.h
+++ b/src/ops/admin_calls.h
@@ -1,4 +1,4 @@
-// The operators' calls: paths, methods and responses. No sockets.
+// This module handles operators' calls to the admin server: paths, methods and responses. It has no sockets.
 #ifndef POSTSPREAD_OPS_ADMIN_CALLS_H_
 #define POSTSPREAD_OPS_ADMIN_CALLS_H_
 
@@ -9,25 +9,30 @@
 
 namespace postspread::ops {
 
+// Represents an HTTP response of the admin server.
 struct AdminResponse {
   int status = 200;
-  std::string body;   // plain text, with a line end
-  std::string allow;  // with 405: the method that the path takes
+  // The body is plain text that ends with a line feed.
+  std::string body;
+  // With status 405, this is the method that the path accepts.
+  std::string allow;
 };
 
 struct Readiness {
   bool is_ready = false;
-  std::string_view state;  // of the lifecycle, by name
+  // This is the name of the lifecycle state.
+  std::string_view state;
 };
 
-// Carries the calls out.
+// Executes the calls of operators; the gateway implements it.
 class AdminHandler {
  public:
   virtual Readiness CheckReadiness() = 0;
-  // In the text format of Prometheus.
+  // Returns the metrics in the text format of Prometheus.
   virtual std::string Metrics() = 0;
-  // The membership view as JSON; empty where it is off.
+  // Returns the membership view as JSON, or an empty string where membership is disabled.
   virtual std::string Membership() = 0;
+  // Drain and Activate return whether the call took effect.
   virtual AdminResult Drain() = 0;
   virtual AdminResult Activate() = 0;
 
@@ -35,7 +40,8 @@
   ~AdminHandler() = default;
 };
 
-// `target` as in the request line; a query is ignored.
+// Executes the call by `handler` and returns the response. `target` is the target of the request line; its
+// query is ignored. Unknown paths get 404, other methods 405, and calls during a shutdown 409.
 AdminResponse Call(std::string_view method, std::string_view target, AdminHandler& handler);
 
 }  // namespace postspread::ops
--- a/src/ops/lifecycle.cpp
+++ b/src/ops/lifecycle.cpp
@@ -5,48 +5,51 @@
 namespace postspread::ops {
 namespace {
 
-constexpr std::chrono::milliseconds kMaxCommandTime{2'000};  // that a client may take to write a command
-// The platform kills the process this long after SIGTERM at the latest, ...
-constexpr std::chrono::milliseconds kMaxStopTime{3'000};
-constexpr std::chrono::milliseconds kStopGrace{700};  // ... plus this
-constexpr std::chrono::milliseconds kExitTime{100};   // of the grace, for the end of the process
+// A client may take this long to write a command.
+constexpr std::chrono::milliseconds kMaxCommandTime{2'000};
+// From SIGTERM on, the platform waits for the longest deadline, but at most for this time, plus kKillGrace.
+// Then it kills the process.
+constexpr std::chrono::milliseconds kMaxShutdownTime{3'000};
+constexpr std::chrono::milliseconds kKillGrace{700};
+// This part of kKillGrace is reserved for the process to exit.
+constexpr std::chrono::milliseconds kExitReserve{100};
 
 }  // namespace
 
 AdminResult Lifecycle::Drain(Clock::time_point now) {
-  if (stopped_at_) return AdminResult::kStopping;
-  if (!drained_at_) drained_at_ = now;
+  if (shutdown_started_at_) return AdminResult::kStopping;
+  if (!drain_started_at_) drain_started_at_ = now;
   return AdminResult::kDone;
 }
 
 AdminResult Lifecycle::Activate() {
-  if (stopped_at_) return AdminResult::kStopping;
-  drained_at_.reset();
+  if (shutdown_started_at_) return AdminResult::kStopping;
+  drain_started_at_.reset();
   return AdminResult::kDone;
 }
 
-bool Lifecycle::TakesRequests(Clock::time_point now, std::chrono::microseconds longest_deadline) const {
-  if (stopped_at_) return now < AnswerBy(longest_deadline);
-  return !drained_at_ || now < *drained_at_ + kOperatorDrain.commands_until;
+bool Lifecycle::AdmitsRequests(Clock::time_point now, std::chrono::microseconds longest_deadline) const {
+  if (shutdown_started_at_) return now < ResponseDeadline(longest_deadline);
+  return !drain_started_at_ || now < *drain_started_at_ + kOperatorDrain.commands_until;
 }
 
-void Lifecycle::Stop(Clock::time_point now) {
-  if (!stopped_at_) stopped_at_ = now;
+void Lifecycle::BeginShutdown(Clock::time_point now) {
+  if (!shutdown_started_at_) shutdown_started_at_ = now;
 }
 
-Lifecycle::Clock::time_point Lifecycle::CommandsUntil(std::chrono::microseconds longest_deadline) const {
-  return stopped_at_.value_or(Clock::time_point()) +
+Lifecycle::Clock::time_point Lifecycle::CommandDeadline(std::chrono::microseconds longest_deadline) const {
+  return shutdown_started_at_.value_or(Clock::time_point()) +
          std::min<std::chrono::microseconds>(longest_deadline, kMaxCommandTime);
 }
 
-Lifecycle::Clock::time_point Lifecycle::AnswerBy(std::chrono::microseconds longest_deadline) const {
-  return stopped_at_.value_or(Clock::time_point()) +
-         std::min<std::chrono::microseconds>(longest_deadline, kMaxStopTime) + kStopGrace - kExitTime;
+Lifecycle::Clock::time_point Lifecycle::ResponseDeadline(std::chrono::microseconds longest_deadline) const {
+  return shutdown_started_at_.value_or(Clock::time_point()) +
+         std::min<std::chrono::microseconds>(longest_deadline, kMaxShutdownTime) + kKillGrace - kExitReserve;
 }
 
 Lifecycle::State Lifecycle::state() const {
-  if (stopped_at_) return State::kStopping;
-  if (drained_at_) return State::kDraining;
+  if (shutdown_started_at_) return State::kStopping;
+  if (drain_started_at_) return State::kDraining;
   return dependencies_ == Dependencies::kAvailable ? State::kServing : State::kStarting;
 }
 
--- a/src/ops/metrics.cpp
+++ b/src/ops/metrics.cpp
@@ -56,7 +56,7 @@
   return family;
 }
 
-// The counts of an enumeration's values, under their names.
+// Maps the name of each value of the enumeration `Reason` to its count.
 template <typename Reason, std::size_t kCount>
 std::map<std::string, std::uint64_t> ByName(const std::array<std::uint64_t, kCount>& counts) {
   std::map<std::string, std::uint64_t> out;
@@ -126,7 +126,7 @@
   return "";
 }
 
-// One line a metric; longer than a function should be, as it is a table.
+// This function is a table with one entry for each metric, so it is long.
 std::string Render(const Metrics& metrics, const Gauges& gauges) {
   std::vector<MetricFamily> out{
       ByClass("completed", "Requests served", metrics, &ClassMetrics::completed),
--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -1,4 +1,4 @@
-// The lifecycle, the operators' calls and the metrics, without sockets and in modelled time.
+// Tests of the lifecycle, the operators' calls and the metrics, without sockets and in simulated time.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -14,53 +14,56 @@
 using Dependencies = Lifecycle::Dependencies;
 const Lifecycle::Clock::time_point kNow{std::chrono::hours(5)};
 
-TEST_CASE("the state of the lifecycle, whatever the order of calls") {
+TEST_CASE("given calls in any order, the lifecycle is in the right state") {
   Lifecycle lifecycle;
   CHECK(lifecycle.state() == State::kStarting);
-  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);  // before its dependencies: holds once they are there
+  // A drain that begins before the dependencies are available goes on when they are.
+  CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
   CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
   lifecycle.SetDependencies(Dependencies::kAvailable);
   CHECK(lifecycle.state() == State::kDraining);
   CHECK(lifecycle.Activate() == AdminResult::kDone);
   CHECK(lifecycle.Activate() == AdminResult::kDone);
-  CHECK(lifecycle.serves());
+  CHECK(lifecycle.serving());
   lifecycle.SetDependencies(Dependencies::kUnavailable);
-  CHECK_FALSE(lifecycle.serves());
+  CHECK_FALSE(lifecycle.serving());
   CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
-  lifecycle.Stop(kNow);  // in mid-drain, and final
+  lifecycle.BeginShutdown(kNow);  // A shutdown may begin during a drain, and can't be undone.
   CHECK(lifecycle.Activate() == AdminResult::kStopping);
   CHECK(lifecycle.Drain(kNow) == AdminResult::kStopping);
   CHECK(lifecycle.state() == State::kStopping);
-  CHECK(lifecycle.CommandsUntil(milliseconds(1'200)) == kNow + milliseconds(1'200));
-  CHECK(lifecycle.CommandsUntil(milliseconds(8'000)) == kNow + milliseconds(2'000));
+  CHECK(lifecycle.CommandDeadline(milliseconds(1'200)) == kNow + milliseconds(1'200));
+  CHECK(lifecycle.CommandDeadline(milliseconds(8'000)) == kNow + milliseconds(2'000));
 }
 
-TEST_CASE("a drain closes connections spread over its time, after new clients have ceased to come") {
+TEST_CASE("given a drain, connections are closed spread over its time, after new clients cease to come") {
   for (std::size_t i = 1; i < 400; ++i)
     CHECK(kOperatorDrain.After(i - 1, 400) <= kOperatorDrain.After(i, 400));
-  CHECK(kOperatorDrain.After(200, 400) > milliseconds(700));  // half of them later than this
+  // Half of the connections are closed later than this.
+  CHECK(kOperatorDrain.After(200, 400) > milliseconds(700));
   CHECK(kOperatorDrain.After(399, 400) == kOperatorDrain.last);
   CHECK(kOperatorDrain.After(0, 1) == kOperatorDrain.first);
-  // The load balancer polls every 0.1 s and routes here for 0.2 s more; at 4 s no request may be younger than
-  // 2 s.
+  // The load balancer polls every 0.1 s and routes clients to this gateway for another 0.2 s. 4 s after the
+  // call no request may be younger than 2 s.
   CHECK(kOperatorDrain.first > milliseconds(300));
   CHECK(kOperatorDrain.last < milliseconds(2'000));
   CHECK(kOperatorDrain.commands_until < milliseconds(2'000));
 }
 
-TEST_CASE("late in a drain and at the end of a shutdown no request is admitted") {
+TEST_CASE("when a drain or a shutdown is near its end, no request is admitted") {
   const milliseconds deadline(1'000);
   Lifecycle lifecycle;
-  CHECK(lifecycle.TakesRequests(kNow, deadline));
+  CHECK(lifecycle.AdmitsRequests(kNow, deadline));
   CHECK(lifecycle.Drain(kNow) == AdminResult::kDone);
-  CHECK(lifecycle.Drain(kNow + milliseconds(1'000)) == AdminResult::kDone);  // the first call counts
-  CHECK(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until - milliseconds(1), deadline));
-  CHECK_FALSE(lifecycle.TakesRequests(kNow + kOperatorDrain.commands_until, deadline));
+  // Only the first call has an effect.
+  CHECK(lifecycle.Drain(kNow + milliseconds(1'000)) == AdminResult::kDone);
+  CHECK(lifecycle.AdmitsRequests(kNow + kOperatorDrain.commands_until - milliseconds(1), deadline));
+  CHECK_FALSE(lifecycle.AdmitsRequests(kNow + kOperatorDrain.commands_until, deadline));
   CHECK(lifecycle.Activate() == AdminResult::kDone);
-  CHECK(lifecycle.TakesRequests(kNow + milliseconds(3'000), deadline));
-  lifecycle.Stop(kNow);
-  CHECK(lifecycle.TakesRequests(kNow + milliseconds(1'599), deadline));
-  CHECK_FALSE(lifecycle.TakesRequests(kNow + milliseconds(1'600), deadline));
+  CHECK(lifecycle.AdmitsRequests(kNow + milliseconds(3'000), deadline));
+  lifecycle.BeginShutdown(kNow);
+  CHECK(lifecycle.AdmitsRequests(kNow + milliseconds(1'599), deadline));
+  CHECK_FALSE(lifecycle.AdmitsRequests(kNow + milliseconds(1'600), deadline));
 }
 
 struct ScriptedHandler final : AdminHandler {
@@ -80,7 +83,7 @@
   }
 };
 
-TEST_CASE("admin calls: paths, methods, and calls that come too late") {
+TEST_CASE("given admin calls, paths and methods are checked, and calls during a shutdown have no effect") {
   ScriptedHandler handler;
   const auto status = [&](const char* method, const char* target) {
     return Call(method, target, handler).status;
@@ -102,11 +105,11 @@
   CHECK(Call("GET", "/v1/readyz", handler).body == "state\n");
 }
 
-TEST_CASE("metrics: every name, and each class from when it is named") {
+TEST_CASE("given counted metrics, each is rendered by its name, and each class from when it is named") {
   Metrics metrics;
   ClassMetrics& lookup = metrics.Of("lookup");
   for (int i = 0; i < 100; ++i) metrics.Of("other" + std::to_string(i));
-  CHECK(&metrics.Of("lookup") == &lookup);  // an entry's address never changes
+  CHECK(&metrics.Of("lookup") == &lookup);  // The address of an entry never changes.
   lookup = {.completed = 123'456'789, .rejected = 5, .failed = 6};
   metrics.upstream_requests = 7;
   metrics.config_reloads = 8;
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -1,4 +1,4 @@
-// Admin server, drain, reload and upgrade, with the real program over loopback.
+// Tests of the admin server, drain, reload and upgrade, with the gateway program over loopback.
 #include "partners/site.h"
 
 namespace postspread {
@@ -8,7 +8,8 @@
 
 bool IsOk(const std::string& response) { return response.find("HTTP/1.1 200 ") == 0; }
 
-TEST_CASE("the admin server reads calls in any fragments, and silent callers lock out nobody") {
+TEST_CASE(
+    "given silent callers and a call in fragments, the admin server serves calls and locks out nobody") {
   Site site(1, {{"ops", true}});
   site.Start(1);
   std::vector<Peer> silent;
@@ -17,18 +18,18 @@
     if (i % 2 == 0) silent.back().Send("GET /v1/readyz HTTP/1.1\r\nHost:");
   }
   for (int i = 0; i < 3; ++i) CHECK(IsOk(site.Call("GET /v1/readyz")));
-  CHECK(silent.front().Ended());  // the oldest was evicted first
+  CHECK(silent.front().Ended());  // The oldest connection was evicted first.
   CHECK(site.Call("POST /v1/readyz").find("\r\nAllow: GET\r\n") != std::string::npos);
   CHECK(site.Call("what is this").find("HTTP/1.1 400 Bad Request\r\n") == 0);
-  Peer cut = Connect(site.ops());
+  Peer fragmented = Connect(site.ops());
   for (const char* piece : {"GE", "T /v1/rea", "dyz HTTP/1.1\r", "\nHost: x\r\n", "\r", "\n"}) {
-    cut.Send(piece);
+    fragmented.Send(piece);
     usleep(2'000);
   }
-  CHECK(cut.Line() == "HTTP/1.1 200 OK\r\n");
+  CHECK(fragmented.Line() == "HTTP/1.1 200 OK\r\n");
 }
 
-TEST_CASE("the metrics are what clients and upstreams count") {
+TEST_CASE("given served, rejected and invalid requests, the metrics equal what clients and upstreams count") {
   Site site(1, {{"ops", true}, {"settings", {{"Limits", {{"MostTries", 1}}}}}});
   site.Start(1);
   CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 0);
@@ -41,7 +42,7 @@
   held.upstream.Command();
   held.upstream.Send("-BUSY\r\n");
   CHECK(held.client.Line() == "-BUSY\r\n");
-  held.client.Send(Command({"API.READ", "x"}));  // not a request of any class
+  held.client.Send(Command({"API.READ", "x"}));  // This command is not a request of any class.
   held.client.Line();
   CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);
   CHECK(site.Metric("svc_rejected{lane=\"lookup\"}") == 1);
@@ -54,8 +55,9 @@
   CHECK(site.Metric("svc_config_reload_errors") == 1);
 }
 
-TEST_CASE("an attempt is counted once its last byte is written to the socket, not when it is buffered") {
-  Port full(0);  // connections to it come up only when one before is taken
+TEST_CASE("when an attempt is buffered but not written to the socket, it is not counted") {
+  // The backlog is full, so a further connection is established only once an earlier one is accepted.
+  Port full(0);
   Site site(1, {{"ops", true}});
   const Peer queued = Connect(full.number());
   Peer watch = site.discovery().Accept();
@@ -71,44 +73,44 @@
   CHECK(site.Metric("svc_upstream_requests") == 0);
 }
 
-TEST_CASE(
-    "a drain: not ready at once, still serving, connections closed between requests, and activated again") {
+TEST_CASE("given a drain, the gateway is not ready, still serving, and closes connections between requests") {
   Site site(1, {{"ops", true}});
   site.Start(1);
   Peer idle = site.Client();
   CHECK(Site::Ping(idle) == "+PONG\r\n");
   Site::Held busy = site.Hold("a");
-  Peer cut = site.Client();  // a command that has begun to arrive when the drain begins
+  Peer partial = site.Client();  // This client's command has begun to arrive when the drain begins.
   const std::string command = Read("c");
-  cut.Send(command.substr(0, 40));
+  partial.Send(command.substr(0, 40));
   for (int i = 0; i < 2; ++i) CHECK(IsOk(site.Call("PUT /v1/gatekeeper/drain")));
   CHECK_FALSE(IsOk(site.Call("GET /v1/readyz")));
   CHECK(Site::Ping(idle) == "-LOADING not serving\r\n");
-  Site::Held late = site.Hold("b");  // the load balancer still routes here for a moment
+  // The load balancer still routes clients to this gateway for a moment.
+  Site::Held late = site.Hold("b");
   late.Serve();
   CHECK(idle.Ended());
   CHECK(late.client.Ended());
-  CHECK_FALSE(busy.client.HasMore());  // its response is pending
-  cut.Send(command.substr(40));
+  CHECK_FALSE(busy.client.HasMore());  // The response on this connection is pending.
+  partial.Send(command.substr(40));
   site.Grant();
   CHECK(late.upstream.Command().at(2) == "c");
   late.upstream.Send(kValue);
-  CHECK(cut.Until("hi\r\n") == "$2\r\nhi\r\n");
-  CHECK(cut.Ended());
+  CHECK(partial.Until("hi\r\n") == "$2\r\nhi\r\n");
+  CHECK(partial.Ended());
   busy.Serve();
   CHECK(busy.client.Ended());
-  SECTION("activate ends the drain") {
+  SECTION("an operator's activate call ends the drain") {
     CHECK(IsOk(site.Call("PUT /v1/gatekeeper/activate")));
     CHECK(IsOk(site.Call("GET /v1/readyz")));
     CHECK(site.Ping() == "+PONG\r\n");
   }
-  SECTION("SIGTERM during a drain ends the program") {
+  SECTION("SIGTERM during a drain ends the process") {
     site.Terminate();
     CHECK(site.Wait() == 0);
   }
 }
 
-TEST_CASE("reload: classes come and go, a request keeps the rules that it was admitted under") {
+TEST_CASE("when a reload adds and removes classes, a request keeps the rules that it was admitted under") {
   const json lookup = {
       {"Name", "lookup"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "safe"}};
   json later = lookup;
@@ -141,21 +143,21 @@
   Peer third = site.Client();
   third.Send(Read("gone"));
   CHECK(third.Line() == "-ERR unknown class\r\n");
-  second.Send("-ERR failed\r\n");  // it may have run, and its class allows no retry
+  second.Send("-ERR failed\r\n");  // The attempt may have run, and the request's class allows no retry.
   CHECK(client.Line() == "-ERR failed\r\n");
-  old.upstream.Send(
-      "-ERR failed\r\n");  // one of two attempts, by the settings that it was admitted under: it is retried
-  CHECK(second.Command().at(2) == "old");  // on the connection that is free
+  // The request is retried, since the settings that it was admitted under allow two attempts.
+  old.upstream.Send("-ERR failed\r\n");
+  CHECK(second.Command().at(2) == "old");  // The retry uses the connection that is free.
   second.Send(kValue);
   CHECK(old.client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);  // the metrics of a removed class stay
+  CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);  // The metrics of a removed class stay.
 }
 
 TEST_CASE(
-    "an upgrade: two processes on one socket, each request gets one response, no request is closed on") {
+    "given an upgrade with two processes on one socket, each request gets one response and none is cut off") {
   Port shared(64);
   const int second_ops = FreeNumber();
-  // With the broadcast of usage both bind one address for datagrams, too.
+  // With the broadcast of usage enabled, both processes bind one address for datagrams, too.
   const json peers = {{"peer_listen", "127.0.0.1:" + std::to_string(FreeNumber())},
                       {"peers", {"127.0.0.1:1", "127.0.0.1:2"}},
                       {"settings", {{"Limits", {{"MayTell", true}}}}},
@@ -165,21 +167,21 @@
   Peer idle = site.Client();
   CHECK(Site::Ping(idle) == "+PONG\r\n");
   Site::Held busy = site.Hold("a");
-  Peer slow = site.Client();  // takes its time to write
+  Peer slow = site.Client();  // This client writes its command slowly.
   const std::string command = Read("s");
   slow.Send(command.substr(0, 50));
 
   const pid_t first = site.Turn(site.Spawn({"ROUTER_OPS=127.0.0.1:" + std::to_string(second_ops)}));
-  Peer watch = site.discovery().Accept();  // the second one's
+  Peer watch = site.discovery().Accept();  // The second process polls discovery on this connection.
   watch.Until("\r\n\r\n");
   Site::Tell(watch, Site::List(true, site.Entries(0, 1, "Ready")));
   Peer calls = site.counter().Accept();
   while (!IsOk(Site::Call(second_ops, "GET /v1/readyz"))) usleep(10'000);
-  CHECK(IsOk(site.Call("GET /v1/readyz")));  // both serve for a while
+  CHECK(IsOk(site.Call("GET /v1/readyz")));  // Both processes serve for a while.
 
   kill(first, SIGTERM);
   CHECK(idle.Ended());
-  Peer fresh = site.Client();  // only the second one accepts now
+  Peer fresh = site.Client();  // Only the second process accepts now.
   fresh.Send(Read("b"));
   calls.Command();
   calls.Send("$1\r\n1\r\n");
@@ -187,7 +189,8 @@
   CHECK(other.Command().at(2) == "b");
   other.Send(kValue);
   CHECK(fresh.Until("hi\r\n") == "$2\r\nhi\r\n");
-  slow.Send(command.substr(50));  // begun before, ended after: still the first one's
+  // The command began before the shutdown and ends after it: the first process handles it.
+  slow.Send(command.substr(50));
   site.Grant();
   Peer third = site.upstream(0).Accept();
   CHECK(third.Command().at(2) == "s");
@@ -200,11 +203,11 @@
   int status = -1;
   REQUIRE(waitpid(first, &status, 0) == first);
   CHECK(status == 0);
-  CHECK(Site::Ping(fresh) == "+PONG\r\n");  // the shared socket and its clients outlive the first process
+  CHECK(Site::Ping(fresh) == "+PONG\r\n");  // The shared socket and its clients outlive the first process.
   CHECK(site.Ping() == "+PONG\r\n");
 }
 
-TEST_CASE("of two datagram sockets bound to one address the one bound last receives") {
+TEST_CASE("given two datagram sockets bound to one address, the one bound last receives") {
   const auto bound = [](sockaddr_in address) {
     const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     const int one = 1;
