--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -14,13 +14,15 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kCallTimeout{5'000};  // for the head of a call, and to read the response
-constexpr std::chrono::milliseconds kLingerTimeout{1'000};  // for a caller to close after the response
-constexpr std::chrono::milliseconds kWatchRetry{50};
+// Bounds the time until the head of a call has arrived and the caller has read the response.
+constexpr std::chrono::milliseconds kCallTimeout{5'000};
+// Bounds the wait for the caller to close the connection after the response.
+constexpr std::chrono::milliseconds kLingerTimeout{1'000};
+constexpr std::chrono::milliseconds kWatchRetryDelay{50};
 constexpr int kBacklog = 64;
-constexpr int kMaxAcceptsPerTurn = 8;
+constexpr int kMaxAcceptsPerIteration = 8;
 constexpr int kNotFound = 404;
-constexpr int kWrongMethod = 405;
+constexpr int kMethodNotAllowed = 405;
 
 }  // namespace
 
@@ -30,18 +32,18 @@
       : admin_server_(admin_server),
         connection_(AdoptSocket(admin_server.base_, fd)),
         timer_(admin_server.base_, [this] { OnTimeout(); }) {
-    bufferevent_priority_set(connection_.get(), kUrgent);
+    bufferevent_priority_set(connection_.get(), kUrgentPriority);
     SetCallbacks<&AdminConnection::OnRead, &AdminConnection::OnWritten, &AdminConnection::OnEvent>(
         connection_.get(), this);
     bufferevent_setwatermark(connection_.get(), EV_READ, 0, http::RequestParser::kMaxHead);
     timer_.Arm(kCallTimeout);
   }
-  // As net::Watch.
+  // Returns false if the socket can't be watched for now, as net::Watch does.
   bool EnsureWatched() { return Watch(connection_.get()); }
 
  private:
   void OnRead() {
-    // After the response only a body can come, which no call has.
+    // Calls have no body, so bytes that arrive after the response are discarded.
     if (has_responded_) return Consume(connection_.get(), ReadSize(connection_.get()));
     while (ReadSize(connection_.get()) > 0 && !parser_.done() && !parser_.broken()) {
       Consume(connection_.get(), parser_.Feed(PeekFirst(connection_.get())));
@@ -62,7 +64,8 @@
     if (Unwritten(connection_.get()) == 0) OnWritten();
   }
 
-  // A lingering close: closed with bytes unread the socket would be reset, and the response lost.
+  // Starts a lingering close: closing the socket with unread bytes would reset it, and the caller could lose
+  // the response.
   void OnWritten() {
     if (!has_responded_ || is_shut_down_) return;
     is_shut_down_ = true;
@@ -86,7 +89,7 @@
       const char* reason = is_reset ? "connection reset" : "closed by the caller";
       admin_server_.incomplete_log_("admin call incomplete", reason);
     }
-    // A caller that has shut its side down may still read the response.
+    // A caller that has only shut down its sending side may still read the response.
     if (is_reset || !has_responded_ || is_shut_down_) admin_server_.Remove(this);
   }
 
@@ -100,7 +103,7 @@
 
 AdminServer::AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler)
     : base_(base), handler_(handler), watch_retry_(base, [this] { WatchAll(); }) {
-  // Not evconnlistener: it has no priority, and calls must be accepted however busy the loop is.
+  // evconnlistener has no event priority, but calls must be accepted even when the loop is busy.
   OpenWithRetries([&] {
     fd_ = socket(listen.get()->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     return fd_ >= 0;
@@ -114,7 +117,7 @@
   accept_.reset(event_new(
       base, fd_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->Accept(); }, this));
-  event_priority_set(accept_.get(), kUrgent);
+  event_priority_set(accept_.get(), kUrgentPriority);
   WatchAll();
 }
 
@@ -123,39 +126,41 @@
   close(fd_);
 }
 
-// The system may refuse to watch a socket for a moment: it is asked again, or a call would be lost.
+// Watches all sockets of the server. The system may refuse temporarily; it is then retried, so that no call
+// is lost.
 void AdminServer::WatchAll() {
   bool watched = event_add(accept_.get(), nullptr) == 0;
   for (const auto& connection : connections_) watched = connection->EnsureWatched() && watched;
   if (watched) return;
   accept_failed_log_("can't watch a socket", "of the admin listener");
-  watch_retry_.Arm(kWatchRetry);
+  watch_retry_.Arm(kWatchRetryDelay);
 }
 
 void AdminServer::Accept() {
-  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerIteration; ++i) {
     const evutil_socket_t fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
       const int error = errno;
       if (error != EAGAIN && error != EINTR) accept_failed_log_("admin accept failed", std::strerror(error));
       return;
     }
-    // Callers that send nothing must not lock out others.
+    // Idle connections must not lock out other callers.
     if (connections_.size() >= config::kAdminConnections) {
       incomplete_log_("admin call incomplete", "evicted for another caller");
       connections_.pop_front();
     }
     connections_.push_back(std::make_unique<AdminConnection>(*this, fd));
-    if (!connections_.back()->EnsureWatched()) watch_retry_.Arm(kWatchRetry);
+    if (!connections_.back()->EnsureWatched()) watch_retry_.Arm(kWatchRetryDelay);
   }
 }
 
-// Logs each call that may change something, and those that name none; not readiness checks and scrapes, which
-// come all the time.
+// Logs each call that may change something, and each call with an unknown path or a wrong method. Readiness
+// checks and metric scrapes are frequent and are not logged.
 void AdminServer::LogCall(const std::string& call, const ops::AdminResponse& response) {
   const std::string line = call + ": " + std::to_string(response.status);
   if (!call.starts_with("GET ")) return Log("admin call", line);
-  if (response.status == kNotFound || response.status == kWrongMethod) malformed_log_("admin call", line);
+  if (response.status == kNotFound || response.status == kMethodNotAllowed)
+    malformed_log_("admin call", line);
 }
 
 void AdminServer::Remove(AdminConnection* connection) {
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,5 +1,5 @@
-// The operators' calls over HTTP/1.1 at an address of their own, one call a connection. What a call means:
-// src/ops/admin_calls.h.
+// Serves the operators' admin calls over HTTP/1.1 on a listening address of its own. Each connection carries
+// one call; src/ops/admin_calls.h defines the calls.
 #ifndef POSTSPREAD_NET_ADMIN_SERVER_H_
 #define POSTSPREAD_NET_ADMIN_SERVER_H_
 
@@ -16,8 +16,8 @@
 
 class AdminServer {
  public:
-  // At most config::kAdminConnections are open: one more evicts the oldest. Throws std::runtime_error where
-  // it can't listen.
+  // At most config::kAdminConnections connections are open; a further one evicts the oldest. Throws
+  // std::runtime_error if the server can't listen.
   AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
@@ -36,7 +36,7 @@
   int fd_ = -1;
   EventHandle accept_;
   Timer watch_retry_;
-  std::list<std::unique_ptr<AdminConnection>> connections_;  // the oldest first
+  std::list<std::unique_ptr<AdminConnection>> connections_;  // oldest first
   RareLog incomplete_log_;
   RareLog malformed_log_;
   RareLog accept_failed_log_;
--- a/src/net/downstream/client_connection.cpp
+++ b/src/net/downstream/client_connection.cpp
@@ -11,12 +11,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxPendingResponses = 128;
-constexpr std::size_t kMaxUnreadBytes = std::size_t{128} * 1024;  // of responses
-constexpr milliseconds kIdleTimeout{2'000};        // for a first command, or the next one where many are open
-constexpr milliseconds kErrorDelayTimeout{1'000};  // for responses that are pending before a protocol error
+constexpr std::size_t kMaxUnsentBytes = std::size_t{128} * 1024;  // of responses
+// Bounds the idle time of a connection before its first request, and of any connection when many are open.
+constexpr milliseconds kIdleTimeout{2'000};
+// Bounds the wait for pending responses before the response to a protocol error.
+constexpr milliseconds kErrorDelayTimeout{1'000};
 constexpr milliseconds kLingerCheckInterval{100};
 
-std::string_view ToReply(planner::FailureReason reason) {
+std::string_view ToErrorResponse(planner::FailureReason reason) {
   switch (reason) {
     case planner::FailureReason::kFailed:
       return "-ERR failed\r\n";
@@ -47,7 +49,7 @@
   SetCallbacks<&ClientConnection::OnRead, &ClientConnection::OnWritten, &ClientConnection::OnEvent>(
       connection_.get(), this);
   is_watched_ = Watch(connection_.get());
-  const milliseconds waited = WaitedForAccept(connection_.get());
+  const milliseconds waited = MaxAcceptDelay(connection_.get());
   if (!is_watched_ || waited.count() > 0) unwatched_since_ = accepted_at_ - waited;
 }
 
@@ -66,7 +68,7 @@
       close_timer_.Arm(kLingerCheckInterval);
       break;
     case State::kAborted:
-      // Destroyed from the event loop, as the caller may be one of our own functions.
+      // The timer destroys the connection, because the caller may be a member function of it.
       bufferevent_disable(connection_.get(), EV_READ | EV_WRITE);
       close_timer_.Arm(milliseconds(0));
       break;
@@ -79,7 +81,7 @@
   if (state_ == State::kLingering) return lingering_close_.Discard();
   if (is_dispatching_ || state_ == State::kAborted) return;
   const auto now = Clock::now();
-  // This is called after writes as well: bytes that were read earlier did not arrive now.
+  // OnRead is also called after writes, when no new bytes may have arrived.
   if (reader_.UnrecordedBytes() > 0) RecordArrival(now);
   is_dispatching_ = true;
   DispatchCommands(now);
@@ -92,27 +94,27 @@
 }
 
 void ClientConnection::DispatchCommands(Clock::time_point now) {
-  while (state_ == State::kOpen && MayTakeCommand(now)) {
+  while (state_ == State::kOpen && MayProcessCommand(now)) {
     const CommandReader::Result result = reader_.Next();
     if (result == CommandReader::Result::kIncomplete) return;
     if (result == CommandReader::Result::kMalformed) return OnProtocolError(reader_.command().error);
     Dispatch(reader_.command());
-    scheduled_close_.OnCommandTaken(reader_.command().size);
+    scheduled_close_.OnCommandProcessed(reader_.command().size);
     reader_.Consume();
     last_used_at_ = Clock::now();
   }
 }
 
 void ClientConnection::RecordArrival(Clock::time_point now) {
-  Clock::time_point arrived_at = now - SinceArrival(connection_.get());
+  Clock::time_point arrived_at = now - TimeSinceArrival(connection_.get());
   if (unwatched_since_) arrived_at = std::min(arrived_at, *unwatched_since_);
   reader_.RecordArrival({.read_at = now, .arrived_at = arrived_at, .was_reading_paused = is_paused_});
   if (is_watched_) unwatched_since_.reset();
 }
 
-bool ClientConnection::MayTakeCommand(Clock::time_point now) const {
+bool ClientConnection::MayProcessCommand(Clock::time_point now) const {
   if (!scheduled_close_.HasBegun()) return !IsFull();
-  return scheduled_close_.HasBytesToTake() && (!IsFull() || scheduled_close_.MustTakeNow(now));
+  return scheduled_close_.HasBytesToProcess() && (!IsFull() || scheduled_close_.MustProcessNow(now));
 }
 
 void ClientConnection::Dispatch(const resp::Command& command) {
@@ -142,7 +144,7 @@
     return RespondAtOnce("-ERR a request with this id is open\r\n");
   }
   has_requested_ = true;
-  // The time that it waited here behind other commands is part of its time-out.
+  // The time that the request waited in the read buffer counts towards its timeout.
   const auto waited = std::chrono::floor<milliseconds>(Clock::now() - reader_.arrived_at());
   decoded.request.timeout -= std::max(waited, milliseconds(0));
   const Slot slot = responses_.Add(id_hash);
@@ -152,7 +154,7 @@
 }
 
 bool ClientConnection::IsFull() const {
-  return responses_.size() >= kMaxPendingResponses || responses_.UnreadBytes() > kMaxUnreadBytes;
+  return responses_.size() >= kMaxPendingResponses || responses_.UnsentBytes() > kMaxUnsentBytes;
 }
 
 void ClientConnection::UpdatePaused() {
@@ -167,7 +169,7 @@
 
 void ClientConnection::OnUnwatched() {
   Watch(connection_.get());
-  is_watched_ = false;  // the system may have refused: CheckTimeouts tries again
+  is_watched_ = false;  // the system may have refused; CheckTimeouts retries
   if (!unwatched_since_) unwatched_since_ = Clock::now();
 }
 
@@ -192,8 +194,8 @@
 
 void ClientConnection::OnResponseWritten() {
   if (is_dispatching_) return;
-  // Reading may go on, but from the event loop: this response is an action of the planner's, and the planner
-  // is not reentrant.
+  // Reading resumes from the event loop, because this response may be an action of the planner, which is not
+  // reentrant.
   if (is_paused_) {
     return bufferevent_trigger(connection_.get(), EV_READ,
                                BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
@@ -206,7 +208,9 @@
   Respond(slot, "-BUSY " + std::to_string(retry_after.count()) + "\r\n");
 }
 
-void ClientConnection::Fail(Slot slot, planner::FailureReason reason) { Respond(slot, ToReply(reason)); }
+void ClientConnection::Fail(Slot slot, planner::FailureReason reason) {
+  Respond(slot, ToErrorResponse(reason));
+}
 
 void ClientConnection::BeginStream(Slot slot, std::size_t window) {
   if (state_ != State::kAborted) responses_.BeginStream(slot, window);
@@ -231,7 +235,7 @@
 
 void ClientConnection::AbortStream(Slot slot) {
   if (state_ == State::kAborted || !responses_.AbortStream(slot)) return;
-  // Nothing may follow the incomplete value, or the client would take it for complete.
+  // Nothing may follow the incomplete value, or the client would regard the value as complete.
   close_reason_ = ops::CloseReason::kStreamAborted;
   TransitionTo(State::kAborted);
 }
@@ -254,7 +258,7 @@
 }
 
 bool ClientConnection::IsIdle() const {
-  // The cheap conditions first: the facts take system calls.
+  // The cheap conditions come first, as Facts makes system calls.
   return state_ == State::kOpen && responses_.empty() && safety::MayCloseIdle(Facts());
 }
 
@@ -291,7 +295,7 @@
 }
 
 void ClientConnection::CheckTimeouts(Clock::time_point now, const IdlePolicy& idle) {
-  // Where the system has refused to watch the socket it is asked again.
+  // The system may have refused to watch the socket, so watching is retried.
   const bool needs_watching = !is_watched_ || Unwritten(connection_.get()) > 0;
   if (state_ != State::kAborted && needs_watching) is_watched_ = Watch(connection_.get());
   if (write_timeout_.HasExpired(Unwritten(connection_.get()), now)) {
@@ -300,7 +304,7 @@
   }
   if (state_ == State::kClosing && !responses_.empty() && has_protocol_error_ &&
       now - last_used_at_ >= kErrorDelayTimeout) {
-    // The client is to see the error soon, also where responses before it take long.
+    // Pending requests are failed, so that the client receives the protocol error soon.
     return responses_.FailAll([this](Slot slot) { Fail(slot, planner::FailureReason::kFailed); });
   }
   if (state_ != State::kOpen || !responses_.empty()) return;
@@ -316,11 +320,12 @@
 bool ClientConnection::IsIdleTimeout(Clock::time_point now, const IdlePolicy& idle) const {
   const bool is_short_timeout = !has_requested_ || idle.many_open;
   if (is_short_timeout && now - last_used_at_ >= kIdleTimeout) return true;
-  return has_requested_ && last_used_at_ <= idle.unused_since;
+  return has_requested_ && last_used_at_ <= idle.unused_cutoff;
 }
 
 flow::ConnectionState ClientConnection::EvictionState(Clock::time_point now) const {
-  // A reset discards what the client's system has not acknowledged, as where the client reads slowly.
+  // An eviction may reset the connection, which discards response bytes that a slowly reading client has not
+  // acknowledged.
   const bool is_acknowledged = Unacknowledged(connection_.get()) == 0;
   const auto& partial_since = reader_.partial_since();
   return {.is_delivered = state_ == State::kLingering && is_acknowledged,
@@ -336,7 +341,7 @@
 void ClientConnection::CloseIfDue(Clock::time_point now) {
   if (state_ != State::kOpen || !scheduled_close_.IsDue(now)) return;
   if (!scheduled_close_.HasBegun()) {
-    reader_.ReadWaiting();
+    reader_.ReadAvailable();
     scheduled_close_.Begin(ReadSize(connection_.get()));
   }
   OnRead();
--- a/src/net/downstream/client_connection.h
+++ b/src/net/downstream/client_connection.h
@@ -1,5 +1,5 @@
 // One client connection: dispatches its commands, writes their responses in order, and closes when the rules
-// of src/safety/ allow it. Its states: docs/design.md.
+// in src/safety/ allow it. docs/design.md describes its states.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CLIENT_CONNECTION_H_
 
@@ -25,10 +25,10 @@
 
 namespace postspread::net {
 
-// When a connection without pending responses is closed as idle.
+// Decides when a connection without pending responses is closed as idle.
 struct IdlePolicy {
-  bool many_open = false;          // then a short idle time suffices for any connection
-  Clock::time_point unused_since;  // one last used at this time or before is closed
+  bool many_open = false;           // if true, a short idle time suffices for any connection
+  Clock::time_point unused_cutoff;  // a connection last used at this time or before is closed
 };
 
 class ClientConnection final : public ResponseWriter {
@@ -37,54 +37,56 @@
    public:
     // Destroys the connection.
     virtual void Remove(ClientConnection* connection) = 0;
-    // Reading is paused with more bytes to read: a disconnect is not seen unless it is checked for.
+    // The connection has paused reading with bytes left to read, so it notices a disconnect only if the owner
+    // checks for it.
     virtual void WatchForDisconnect() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // Takes the descriptor over. Throws std::bad_alloc.
+  // Takes ownership of the descriptor. Throws std::bad_alloc.
   ClientConnection(ConnectionContext& context, Owner& owner, evutil_socket_t fd);
   ~ClientConnection();
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  // Cancels every request whose response is pending. Before the connection is destroyed.
+  // Cancels every request whose response is pending. The owner calls it before it destroys the connection.
   void CancelPendingRequests() { responses_.CancelAll(); }
-  // Counts the rule that closing the connection now violates, if there is one.
+  // Counts the rule that closing the connection now would violate, if any.
   void CountViolationByClose() const;
   [[nodiscard]] bool ViolatesDrainDeadline(Clock::time_point now) const;
-  // The client has acknowledged all responses, and is waited for to close.
+  // Returns whether the client has acknowledged all responses and only has to close the connection.
   [[nodiscard]] bool IsDelivered() const {
     return state_ == State::kLingering && Unacknowledged(connection_.get()) == 0;
   }
-  // Its state and what keeps it open, for the log.
+  // Describes the state and what keeps the connection open, for the log.
   [[nodiscard]] std::string Describe() const;
   void SetCloseReason(ops::CloseReason reason) { close_reason_ = reason; }
-  // A valid request has come over it.
+  // Returns whether the connection has carried a valid request.
   [[nodiscard]] bool has_requested() const { return has_requested_; }
-  // When its last command was taken, or when it connected.
+  // Returns when the last command was processed, or the connect time before the first command.
   [[nodiscard]] Clock::time_point last_used_at() const { return last_used_at_; }
 
-  // Closes the connection where its client stalls: reads no responses, does not complete a command, or is
-  // idle. May destroy it.
+  // Closes the connection if its client reads no responses, does not complete a command, or is idle. May
+  // destroy the connection.
   void CheckTimeouts(Clock::time_point now, const IdlePolicy& idle);
   [[nodiscard]] flow::ConnectionState EvictionState(Clock::time_point now) const;
-  // Bytes have arrived that are not read yet.
+  // Returns whether bytes, an end of stream or an error are unread at the socket.
   [[nodiscard]] bool HasUnread() const { return state_ == State::kOpen && HasNews(connection_.get()); }
 
   void ScheduleClose(const CloseSchedule& schedule) { scheduled_close_.Schedule(schedule); }
   void CancelScheduledClose() { scheduled_close_.Cancel(); }
-  // Where the scheduled time has come: takes what has arrived by then, and nothing after it, as a client that
-  // always has another request on its way would keep the connection open for good. The client sends what was
-  // not read again elsewhere once it sees the close. May destroy the connection.
+  // Closes the connection if its scheduled time has come. Bytes that have arrived by then are processed;
+  // later ones are not, because a client that always has another request in transit would keep the connection
+  // open forever. Once the client sees the close it sends the unread requests again elsewhere. May destroy
+  // the connection.
   void CloseIfDue(Clock::time_point now);
 
-  // The read-ahead is full while responses are pending: a disconnect behind it is not seen.
+  // Returns whether the read-ahead is full while responses are pending, so that a disconnect goes unnoticed.
   [[nodiscard]] bool IsReadingPaused() const;
   [[nodiscard]] bool HungUp() const { return net::HungUp(connection_.get()); }
-  // Destroys the connection.
+  // Handles a disconnect of the client. Destroys the connection.
   void OnDisconnect();
 
   // ResponseWriter
@@ -101,11 +103,12 @@
  private:
   enum class State {
     kOpen,
-    kClosing,    // takes no more commands; shuts its side down once all responses are written
+    kClosing,    // processes no more commands; shuts down its sending side once all responses are written
     kLingering,  // waits for the client to close
-    kAborted,    // a streamed response broke off: nothing is written or read any more
+    kAborted,    // a streamed response broke off; the connection neither reads nor writes
   };
-  // The only place where the state changes: open to closing, closing to lingering, both first to aborted.
+  // Changes the state; nothing else does. Allowed are open to closing, closing to lingering, and open or
+  // closing to aborted.
   void TransitionTo(State next);
 
   void OnRead();
@@ -116,29 +119,30 @@
   // Reading
   void DispatchCommands(Clock::time_point now);
   void RecordArrival(Clock::time_point now);
-  [[nodiscard]] bool MayTakeCommand(Clock::time_point now) const;
+  [[nodiscard]] bool MayProcessCommand(Clock::time_point now) const;
   void Dispatch(const resp::Command& command);
   void DispatchPing(const resp::Command& command);
   void DispatchRequest(const resp::Command& command);
-  // Back-pressure: no command is taken while this holds. Up to the read-ahead more is read, so that a
-  // disconnect is seen.
+  // Applies back-pressure: no command is processed while this returns true. Reading goes on up to the
+  // read-ahead, so that a disconnect is noticed.
   [[nodiscard]] bool IsFull() const;
   void UpdatePaused();
-  // The system did not watch the socket for a moment: what is read next may have arrived meanwhile.
+  // Handles a period in which the system did not watch the socket. The bytes that are read next may have
+  // arrived during that period.
   void OnUnwatched();
 
   // Responses
-  // To a command that is not dispatched.
+  // Responds to a command that is not forwarded as a request.
   void RespondAtOnce(std::string_view text);
   void Respond(Slot slot, std::string_view text);
-  // Commands may be taken again, or the connection closed.
+  // Resumes paused command processing, or closes the connection if that is due.
   void OnResponseWritten();
 
   // Closing
   [[nodiscard]] safety::ConnectionFacts Facts() const;
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] bool IsIdleTimeout(Clock::time_point now, const IdlePolicy& idle) const;
-  // The framing is lost: responds so after what is pending, and closes.
+  // Handles lost framing: sends an error response after the pending responses, and closes.
   void OnProtocolError(const std::string& what);
   void StopReading(ops::CloseReason reason);
   void ShutDownIfAllowed();
@@ -161,8 +165,8 @@
   bool is_client_disconnected_ = false;
   bool is_dispatching_ = false;
   bool is_paused_ = false;
-  bool is_watched_ = false;                           // the system reports what arrives
-  std::optional<Clock::time_point> unwatched_since_;  // bytes may have arrived unreported since then
+  bool is_watched_ = false;                           // the system reports events of the socket
+  std::optional<Clock::time_point> unwatched_since_;  // bytes may have arrived unnoticed since then
 };
 
 }  // namespace postspread::net
--- a/src/net/downstream/client_listener.cpp
+++ b/src/net/downstream/client_listener.cpp
@@ -17,12 +17,14 @@
 
 constexpr milliseconds kMaintenanceInterval{250};
 constexpr milliseconds kDisconnectCheckInterval{40};
-constexpr milliseconds kMinIdle{300};        // of a connection that is closed to keep descriptors free
-constexpr std::size_t kManyOpenDivisor = 5;  // a fifth of the maximum is many
-constexpr milliseconds kAcceptErrorRetry{50};
-constexpr milliseconds kCapacityRetry{20};
-constexpr int kMaxAcceptFailures = 16;       // in a row, before the rest of the backlog is left for later
-constexpr unsigned kMaxAcceptsPerTurn = 32;  // before the event loop turns to other sockets
+// The minimum idle time of a connection that is closed to free its descriptor.
+constexpr milliseconds kMinIdle{300};
+// More than a fifth of the maximum number of connections counts as many.
+constexpr std::size_t kManyOpenDivisor = 5;
+constexpr milliseconds kAcceptErrorRetryDelay{50};
+constexpr milliseconds kCapacityRetryDelay{20};
+constexpr int kMaxAcceptFailures = 16;            // of one call, before the rest of the backlog is deferred
+constexpr unsigned kMaxAcceptsPerIteration = 32;  // before the event loop serves other sockets
 constexpr int kBacklog = 1024;
 
 Listener Inherit(event_base* base, int fd, evconnlistener_cb on_accept, void* context) {
@@ -91,26 +93,27 @@
   connections_.push_back(
       std::make_unique<ClientConnection>(context_, static_cast<ClientConnection::Owner&>(*this), fd));
   ClientConnection& connection = *connections_.back();
-  // Those beyond the capacity wait in the kernel's backlog, and other sockets get their turn in between.
+  // Connections beyond the capacity wait in the kernel's backlog. The pause also lets the event loop serve
+  // other sockets.
   const bool is_full = IsFull() && !EvictOne();
-  if (listener_ && (is_full || ++accepted_ % kMaxAcceptsPerTurn == 0)) {
+  if (listener_ && (is_full || ++accepted_ % kMaxAcceptsPerIteration == 0)) {
     PauseAccepting();
-    retry_accept_.Arm(is_full ? kCapacityRetry : milliseconds(0));
+    retry_accept_.Arm(is_full ? kCapacityRetryDelay : milliseconds(0));
   }
   drainer_.OnAccepted(connection);
 }
 
 void ClientListener::OnAcceptError() {
-  // Mostly out of descriptors: an immediate retry would spin.
+  // The usual cause is a shortage of descriptors, so an immediate retry would spin.
   PauseAccepting();
-  retry_accept_.Arm(kAcceptErrorRetry);
+  retry_accept_.Arm(kAcceptErrorRetryDelay);
   accept_failed_log_("accept failed", evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
 }
 
 void ClientListener::EnableAccepting() {
   is_accepting_ = true;
   const bool is_watched = evconnlistener_enable(listener_.get()) == 0;
-  if (!is_watched) retry_accept_.Arm(kAcceptErrorRetry);
+  if (!is_watched) retry_accept_.Arm(kAcceptErrorRetryDelay);
 }
 
 void ClientListener::PauseAccepting() {
@@ -120,11 +123,12 @@
 
 void ClientListener::RetryAccepting() {
   if (!listener_) return;
-  if (IsFull() && !EvictOne()) return retry_accept_.Arm(kCapacityRetry);
+  if (IsFull() && !EvictOne()) return retry_accept_.Arm(kCapacityRetryDelay);
   EnableAccepting();
 }
 
-// Closing our descriptor of an inherited socket resets nothing: what waits there is the other processes'.
+// Closing this process's descriptor of an inherited socket resets no connections: the other processes accept
+// those in the backlog.
 void ClientListener::StopAccepting() {
   is_accepting_ = false;
   listener_.reset();
@@ -139,7 +143,7 @@
   if (is_inherited_) StopAccepting();
 }
 
-// Connections in the backlog are established: closing the listener would reset them.
+// Accepts the connections in the backlog. They are established, so closing the listener would reset them.
 ClientListener::Backlog ClientListener::AcceptBacklog() {
   const evutil_socket_t fd = evconnlistener_get_fd(listener_.get());
   for (int failures = 0; failures < kMaxAcceptFailures;) {
@@ -150,7 +154,7 @@
     }
     const int error = errno;
     if (error == EAGAIN || error == EWOULDBLOCK) return Backlog::kEmpty;
-    ++failures;  // it may be the error of one connection only
+    ++failures;  // the error may concern a single connection
     accept_failed_log_("accept failed", std::strerror(error));
   }
   return Backlog::kSomeLeft;
@@ -160,7 +164,7 @@
 
 void ClientListener::Drain(Clock::time_point commands_until) {
   if (listener_) {
-    // The open connections first: those that end make room for the backlog.
+    // Open connections are closed first, which frees capacity for the backlog.
     drainer_.CloseAll(commands_until);
     if (is_inherited_ || AcceptBacklog() == Backlog::kEmpty || Clock::now() >= commands_until) {
       StopAccepting();
@@ -176,7 +180,8 @@
 
 // ---- Capacity
 
-// Evicts the connection with the lowest rank; its client reconnects when it needs to.
+// Evicts the connection with the lowest eviction rank. Its client can reconnect. Returns false if no
+// connection may be evicted.
 bool ClientListener::EvictOne() {
   const auto now = Clock::now();
   auto victim = connections_.end();
@@ -194,34 +199,35 @@
   return true;
 }
 
-// Those that were last used at this time or before are closed, so that clients that send one request and stay
-// connected do not lock out others: two fifths of the connections stay, and those that are used.
+// Returns the cutoff of IdlePolicy: connections last used at this time or before are closed. Otherwise
+// clients that send one request and stay connected would lock out others. Two fifths of the maximum number of
+// connections stay open, as do connections in use.
 Clock::time_point ClientListener::UnusedCutoff(Clock::time_point now) const {
-  const std::size_t kept = max_connections_ * 2 / 5;
+  const std::size_t retained_count = max_connections_ * 2 / 5;
   std::vector<Clock::time_point> last_used;
   for (const auto& connection : connections_) {
     if (connection->has_requested()) last_used.push_back(connection->last_used_at());
   }
-  if (last_used.size() <= kept) return {};
-  const auto cutoff = last_used.begin() + static_cast<std::ptrdiff_t>(last_used.size() - kept - 1);
+  if (last_used.size() <= retained_count) return {};
+  const auto cutoff = last_used.begin() + static_cast<std::ptrdiff_t>(last_used.size() - retained_count - 1);
   std::nth_element(last_used.begin(), cutoff, last_used.end());
   return std::min(*cutoff, now - kMinIdle);
 }
 
 void ClientListener::RunMaintenance() {
   maintenance_.Arm(kMaintenanceInterval);
-  // The system may have refused to watch the listener; nothing where it is watched.
+  // The system may have refused to watch the listener. Enabling a watched listener again has no effect.
   if (is_accepting_) evconnlistener_enable(listener_.get());
   const auto now = Clock::now();
   const IdlePolicy idle{.many_open = connections_.size() > max_connections_ / kManyOpenDivisor,
-                        .unused_since = UnusedCutoff(now)};
+                        .unused_cutoff = UnusedCutoff(now)};
   for (auto it = connections_.begin(); it != connections_.end();) {
-    ClientConnection& connection = **it++;  // may be removed
+    ClientConnection& connection = **it++;  // the call may remove the connection
     connection.CheckTimeouts(now, idle);
   }
 }
 
-// ---- Ends of connections
+// ---- Removal and disconnects
 
 void ClientListener::Remove(ClientConnection* connection) {
   const auto found = std::find_if(connections_.begin(), connections_.end(),
@@ -250,7 +256,7 @@
       WatchForDisconnect();
     }
   }
-  for (ClientConnection* connection : disconnected) connection->OnDisconnect();  // removes itself only
+  for (ClientConnection* connection : disconnected) connection->OnDisconnect();  // removes only itself
 }
 
 }  // namespace postspread::net
--- a/src/net/downstream/client_listener.h
+++ b/src/net/downstream/client_listener.h
@@ -1,4 +1,5 @@
-// Accepts client connections and owns them: capacity and eviction, time-outs, drain and shutdown.
+// Accepts client connections and owns them. The listener bounds their number by eviction, checks their
+// timeouts, and closes them in a drain or shutdown.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CLIENT_LISTENER_H_
 
@@ -21,35 +22,36 @@
  public:
   struct Options {
     config::Address listen;
-    // A socket that listens there already and is shared with other processes: it is accepted from once
-    // StartAccepting is called, and is never shut down.
+    // A descriptor that already listens on that address and is shared with other processes. The listener
+    // accepts from it only after StartAccepting, and never shuts it down.
     std::optional<int> inherited;
     std::size_t max_connections = 0;
   };
-  // Throws std::runtime_error where it can't listen.
+  // Throws std::runtime_error if it can't listen.
   ClientListener(event_base* base, const Options& options, resp::Vocabulary vocabulary,
                  flow::ByteBudget& large_requests, ops::Metrics& metrics, RequestHandler& handler);
   ~ClientListener();
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  // Commands are checked against it from now on.
+  // Sets the vocabulary against which all further commands are checked.
   void SetVocabulary(resp::Vocabulary vocabulary) { context_.vocabulary = std::move(vocabulary); }
-  // Accepts from an inherited socket; nothing where accepting has ended.
+  // Starts to accept from an inherited socket. Does nothing once accepting has ended.
   void StartAccepting();
-  // Leaves an inherited socket to the other processes. A socket of its own stays until Drain.
+  // Closes an inherited socket, which other processes go on serving. A socket of the listener's own stays
+  // open until Drain.
   void LeaveInherited();
-  // Stops accepting, and closes every connection: at once where no response is pending, else as soon as none
-  // is. A command that has begun to arrive may be completed until `commands_until`. To be called again until
-  // the listener is empty.
+  // Stops accepting and closes each connection as soon as it has no pending response. A command that has
+  // begun to arrive may be completed until `commands_until`. The caller repeats the call until the listener
+  // is empty.
   void Drain(Clock::time_point commands_until);
-  // As ConnectionDrainer::Start and Stop.
+  // Start and stop the ConnectionDrainer, which closes the connections spread over time.
   void StartDraining(const ops::ConnectionDrainSchedule& schedule, ops::CloseReason reason) {
     drainer_.Start(schedule, reason);
   }
   void StopDraining() { drainer_.Stop(); }
 
-  // Whether the clients of all connections have their responses, and are waited for to close.
+  // Returns whether all clients have acknowledged their responses and only have to close their connections.
   [[nodiscard]] bool OnlyDelivered() const;
   [[nodiscard]] bool empty() const { return connections_.empty(); }
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
--- a/src/net/downstream/command_reader.cpp
+++ b/src/net/downstream/command_reader.cpp
@@ -8,9 +8,9 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::size_t kReadAheadBytes = std::size_t{80} * 1024;  // any command but a large one fits
-constexpr std::chrono::milliseconds kHeadTimeout{2'300};         // a client may take 2 s
-constexpr std::chrono::milliseconds kBodyStallTimeout{2'300};    // without a byte
+constexpr std::size_t kReadAheadBytes = std::size_t{80} * 1024;  // holds any command but a large one
+constexpr std::chrono::milliseconds kHeadTimeout{2'300};         // exceeds the 2 s that a client may take
+constexpr std::chrono::milliseconds kBodyStallTimeout{2'300};    // since the last byte
 constexpr std::chrono::seconds kBodyTimeout{30};
 
 }  // namespace
@@ -34,7 +34,7 @@
     }
     needed_bytes_ = 0;
     if (progress == resp::Progress::kBroken) return Result::kMalformed;
-    // The bytes can be reserved anew for the request in flight.
+    // The request in flight may reserve these bytes again. Consume grants the rest to other connections.
     if (reserved_bytes_ > 0) budget_.Give(std::exchange(reserved_bytes_, 0));
     return Result::kComplete;
   }
@@ -64,7 +64,7 @@
   }
 }
 
-void CommandReader::ReadWaiting() {
+void CommandReader::ReadAvailable() {
   const std::size_t capacity = std::max(reserved_bytes_, kReadAheadBytes);
   const std::size_t size = ReadSize(connection_);
   if (size < capacity) ReadNow(connection_, capacity - size);
--- a/src/net/downstream/connection_context.h
+++ b/src/net/downstream/connection_context.h
@@ -1,4 +1,4 @@
-// What all client connections of a listener share.
+// The state that all client connections of a listener share.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CONNECTION_CONTEXT_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CONNECTION_CONTEXT_H_
 
@@ -16,12 +16,12 @@
 
 struct ConnectionContext {
   event_base* base;
-  resp::Vocabulary vocabulary;  // that commands are checked against
+  resp::Vocabulary vocabulary;  // commands are checked against it
   flow::ByteBudget& large_requests;
   ops::Metrics& metrics;
   RequestHandler& handler;
-  // Hashes of the ids of requests with a pending response. A second request under such an id is a client's
-  // fault: it could be executed in place of the first.
+  // Hashes of the ids of requests with a pending response. A second request with such an id is a client error
+  // and is rejected, because it could be executed in place of the first.
   std::unordered_set<std::size_t> pending_ids{};
   RareLog rejected_command_log{};
 };
--- a/src/net/downstream/connection_drainer.cpp
+++ b/src/net/downstream/connection_drainer.cpp
@@ -17,8 +17,10 @@
 constexpr milliseconds kCloseInterval{20};
 constexpr milliseconds kReportInterval{1'000};
 constexpr int kMaxReportedConnections = 5;
-constexpr milliseconds kFirstRequest{500};  // in which the first request of a new client may be on its way
-constexpr milliseconds kViolationCheck = safety::kDrainDeadline - milliseconds(100);  // after the start
+// The first request of a new connection may arrive within this time.
+constexpr milliseconds kFirstRequestGrace{500};
+// The violation check runs this long after the start of a drain.
+constexpr milliseconds kViolationCheckDelay = safety::kDrainDeadline - milliseconds(100);
 
 }  // namespace
 
@@ -58,11 +60,11 @@
 
 void ConnectionDrainer::OnAccepted(ClientConnection& connection) {
   if (!started_at_) return;
-  // Early in a drain clients are still routed here. Later a connection stays open for as long as its client
-  // has to send a request to learn that none is admitted.
+  // Early in a drain the load balancer still routes clients here. Later a connection stays open only long
+  // enough for its client to send a request and learn that it is rejected.
   const auto now = Clock::now();
   const auto latest = std::max(now + kLateRequestGrace, *started_at_ + schedule_.last);
-  const auto at = std::min(std::max(now + kFirstRequest, *started_at_ + schedule_.first), latest);
+  const auto at = std::min(std::max(now + kFirstRequestGrace, *started_at_ + schedule_.first), latest);
   const auto commands_until = std::max(at + kLateCommandGrace, *started_at_ + schedule_.commands_until);
   connection.ScheduleClose({.at = at, .commands_until = commands_until, .reason = reason_});
 }
@@ -86,7 +88,7 @@
   }
 }
 
-// Once the time of the schedule is over: what is still open, and why.
+// Logs the connections that are still open after the scheduled time, and what keeps them open.
 void ConnectionDrainer::Report() {
   CountViolations();
   if (connections_.empty()) return Log("drain", "no client connection is open");
@@ -99,11 +101,11 @@
   report_timer_.Arm(kReportInterval);
 }
 
-// Once in an operator's drain, shortly before its deadline.
+// Counts rule violations once per operator's drain, shortly before its deadline.
 void ConnectionDrainer::CountViolations() {
   const auto now = Clock::now();
   const bool is_operators_drain = reason_ == ops::CloseReason::kDrained;
-  if (!is_operators_drain || violations_counted_ || now < *started_at_ + kViolationCheck) return;
+  if (!is_operators_drain || violations_counted_ || now < *started_at_ + kViolationCheckDelay) return;
   violations_counted_ = true;
   for (const auto& connection : connections_) {
     if (connection->ViolatesDrainDeadline(now)) metrics_.rules.Violated(safety::Rule::kDrainInTime);
--- a/src/net/downstream/connection_drainer.h
+++ b/src/net/downstream/connection_drainer.h
@@ -1,4 +1,4 @@
-// Closes client connections spread over the time of a drain, and reports how it goes.
+// Closes client connections spread over the duration of a drain, and logs its progress.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_CONNECTION_DRAINER_H_
 #define POSTSPREAD_NET_DOWNSTREAM_CONNECTION_DRAINER_H_
 
@@ -17,17 +17,17 @@
 
 class ConnectionDrainer {
  public:
-  // `connections` belong to the listener; closing one may remove it from there.
+  // The listener owns `connections`. Closing a connection may remove it from the list.
   ConnectionDrainer(event_base* base, ClientConnections& connections, ops::Metrics& metrics);
 
-  // Closes all connections by the schedule, and those that are accepted meanwhile soon after.
+  // Schedules the close of all connections. Connections accepted during the drain are closed soon after.
   void Start(const ops::ConnectionDrainSchedule& schedule, ops::CloseReason reason);
-  // Keeps the connections whose time has not come.
+  // Cancels the drain. Connections whose close has not begun stay open.
   void Stop();
-  // A connection was accepted; nothing outside a drain.
+  // Schedules the close of a new connection. Does nothing outside a drain.
   void OnAccepted(ClientConnection& connection);
-  // Closes all connections now: each once its responses are written and a command that has begun to arrive is
-  // complete, or `commands_until` has passed.
+  // Closes all connections now. Each closes once its responses are written and a command that has begun to
+  // arrive is complete or `commands_until` has passed.
   void CloseAll(Clock::time_point commands_until);
 
  private:
@@ -37,7 +37,7 @@
 
   ClientConnections& connections_;
   ops::Metrics& metrics_;
-  std::optional<Clock::time_point> started_at_;  // while draining
+  std::optional<Clock::time_point> started_at_;  // set during a drain
   ops::ConnectionDrainSchedule schedule_;
   ops::CloseReason reason_ = ops::CloseReason::kDrained;
   bool violations_counted_ = false;
--- a/src/net/downstream/lingering_close.h
+++ b/src/net/downstream/lingering_close.h
@@ -1,5 +1,6 @@
-// The lingering close of a connection: our side is shut down, and what still arrives is discarded until the
-// other end closes. Closed with bytes unread the socket would be reset, and responses on their way lost.
+// The lingering close of a connection: the gateway shuts down its sending side and discards what still
+// arrives until the client closes. Closing a socket with unread bytes would reset it, and responses in
+// transit would be lost.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_LINGERING_CLOSE_H_
 #define POSTSPREAD_NET_DOWNSTREAM_LINGERING_CLOSE_H_
 
@@ -13,15 +14,15 @@
  public:
   explicit LingeringClose(bufferevent* connection) : connection_(connection) {}
 
-  // Shuts our side down. Returns whether the socket is watched, as Watch does.
+  // Shuts down the sending side. Returns whether the socket is watched, as net::Watch does.
   bool Begin();
-  // Bytes have arrived.
+  // Discards bytes that have arrived.
   void Discard();
 
   enum class Status {
     kWaiting,
-    kDelivered,  // the socket may be closed: the client has all responses
-    kTimedOut,   // the socket may be closed: the client reads none of them
+    kDelivered,  // the client has acknowledged all responses; the socket may be closed
+    kTimedOut,   // the client makes no progress in reading responses; the socket may be closed
   };
   [[nodiscard]] Status Check();
 
--- a/src/net/downstream/request_handler.h
+++ b/src/net/downstream/request_handler.h
@@ -1,4 +1,4 @@
-// The interfaces between client connections and the request path.
+// The interfaces between client connections and the request path of the gateway.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_REQUEST_HANDLER_H_
 #define POSTSPREAD_NET_DOWNSTREAM_REQUEST_HANDLER_H_
 
@@ -14,43 +14,43 @@
 
 namespace postspread::net {
 
-// Writes the final response of each request. A second protocol would bring its own ResponseWriter.
+// Writes the final response of each request. A further client protocol would add its own ResponseWriter.
 class ResponseWriter {
  public:
-  using Slot = std::uint64_t;  // identifies the request among the writer's
+  using Slot = std::uint64_t;  // identifies a request within its writer
 
-  // `value` is a complete RESP bulk string, as the upstream sent it.
+  // Writes a response. `value` is a complete RESP bulk string, as the upstream sent it.
   virtual void Complete(Slot slot, std::string_view value) = 0;
-  virtual void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) = 0;  // 0: no advice
+  virtual void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) = 0;  // 0: omitted
   virtual void Fail(Slot slot, planner::FailureReason reason) = 0;
-  // A streamed value, in place of Complete. `window`: bytes that may be buffered for the client.
+  // Begins a streamed value, in place of Complete. `window` bounds the bytes buffered for the client.
   virtual void BeginStream(Slot slot, std::size_t window) = 0;
-  // How many bytes are taken now: none before the responses ahead are written. Where it is none,
-  // RequestHandler::ResumeStream follows.
+  // Returns how many bytes WriteStream accepts now; 0 until all earlier responses are written. After 0 the
+  // writer calls RequestHandler::ResumeStream once it has capacity.
   virtual std::size_t StreamCapacity(Slot slot) = 0;
   // Moves `size` bytes, at most the capacity, from the front of `from`.
   virtual void WriteStream(Slot slot, evbuffer* from, std::size_t size) = 0;
   virtual void EndStream(Slot slot) = 0;
-  // The rest of the value never comes, and the client is to see that.
+  // Ends a value whose rest can't be delivered, so that the client sees that the value is incomplete.
   virtual void AbortStream(Slot slot) = 0;
-  // Checked at the socket: the client may have disconnected and the event loop not have read that yet.
+  // Checks the socket, because the event loop may not have read a disconnect yet.
   virtual bool IsClientConnected() = 0;
 
  protected:
   ~ResponseWriter() = default;
 };
 
-// Takes the requests of client connections.
+// Receives the requests of client connections.
 class RequestHandler {
  public:
-  // Whether requests are admitted and served.
+  // Returns whether requests are admitted and served.
   virtual bool Ready() = 0;
-  // `writer` gets the final response, possibly within the call.
+  // Starts a request. `writer` receives the final response, possibly within this call.
   virtual RequestId HandleRequest(const Request& request, resp::EncodedRequest encoded,
                                   ResponseWriter& writer, ResponseWriter::Slot slot) = 0;
-  // Nobody waits for the response any more: the writer is not called again.
+  // The client no longer waits for the response. The handler does not call the writer again.
   virtual void OnClientDisconnect(RequestId request) = 0;
-  // The writer has capacity again for the request's value.
+  // The writer has capacity again for the request's streamed value.
   virtual void ResumeStream(RequestId request) = 0;
 
  protected:
--- a/src/net/downstream/response_queue.h
+++ b/src/net/downstream/response_queue.h
@@ -1,4 +1,4 @@
-// The responses that a client connection owes, in the order of its commands.
+// The pending responses of a client connection, in the order of its commands.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_RESPONSE_QUEUE_H_
 #define POSTSPREAD_NET_DOWNSTREAM_RESPONSE_QUEUE_H_
 
@@ -13,38 +13,38 @@
 namespace postspread::net {
 
 struct PendingResponse {
-  std::optional<RequestId> request{};  // nothing where none was dispatched, or not yet
-  std::size_t id_hash = 0;             // of the id that the client gave it; 0: it is no request
+  std::optional<RequestId> request{};  // empty if no request was dispatched, or not yet
+  std::size_t id_hash = 0;             // hash of the client's request id; 0: the command is no request
   bool is_ready = false;
   bool is_streamed = false;
-  std::string text{};  // of one that is ready, while those before it are not
+  std::string text{};  // set if the response is ready but earlier ones are not
 };
 
-// A slot is given to each command, and keeps its number until its response is written.
+// Each command gets a slot, whose number is stable until the response is written.
 class ResponseQueue {
  public:
   using Slot = ResponseWriter::Slot;
 
-  // `id_hash` as in PendingResponse.
+  // Adds a pending response to the end of the queue. `id_hash` is as in PendingResponse.
   Slot Add(std::size_t id_hash);
-  // Null where the response has been written, or given up.
+  // Returns null if the response has been written or dropped.
   [[nodiscard]] PendingResponse* Find(Slot slot);
-  // Null where the response is ready, too.
+  // Returns null if the response is ready, written or dropped.
   [[nodiscard]] PendingResponse* FindUnready(Slot slot);
   [[nodiscard]] bool IsFirst(Slot slot) const { return slot == first_slot_; }
-  // Makes a response ready whose turn has not come.
+  // Marks a response as ready and stores its text until all earlier responses are written.
   void Buffer(PendingResponse& response, std::string_view text);
 
   [[nodiscard]] bool empty() const { return pending_.empty(); }
   [[nodiscard]] std::size_t size() const { return pending_.size(); }
   [[nodiscard]] const PendingResponse& front() const { return pending_.front(); }
   [[nodiscard]] Slot first_slot() const { return first_slot_; }
-  // Bytes of the responses that are ready and wait for their turn.
+  // Returns the bytes of ready responses that wait for earlier ones.
   [[nodiscard]] std::size_t buffered_bytes() const { return buffered_bytes_; }
 
-  // Removes the first; its text must have been written.
+  // Removes the first response. Its text must have been written.
   void Pop();
-  // Gives up all that are in the queue.
+  // Drops all responses of the queue, and returns them.
   std::deque<PendingResponse> Clear();
 
  private:
--- a/src/net/downstream/response_sender.cpp
+++ b/src/net/downstream/response_sender.cpp
@@ -8,7 +8,7 @@
 namespace postspread::net {
 namespace {
 
-constexpr int kStreamSendBufferBytes = 64 * 1024;  // of the kernel's
+constexpr int kStreamSendBufferBytes = 64 * 1024;  // in the kernel
 
 }  // namespace
 
--- a/src/net/downstream/response_sender.h
+++ b/src/net/downstream/response_sender.h
@@ -1,4 +1,4 @@
-// Writes the responses of a client connection in the order of its commands, streamed ones among them.
+// Writes the responses of a client connection, including streamed ones, in the order of its commands.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_RESPONSE_SENDER_H_
 #define POSTSPREAD_NET_DOWNSTREAM_RESPONSE_SENDER_H_
 
@@ -11,7 +11,7 @@
 
 namespace postspread::net {
 
-// Each function on a slot does nothing where its response is ready, written or given up.
+// A function on a slot does nothing if the slot's response is ready, written or dropped.
 class ResponseSender {
  public:
   using Slot = ResponseQueue::Slot;
@@ -19,33 +19,37 @@
   ResponseSender(bufferevent* connection, ConnectionContext& context)
       : connection_(connection), context_(context) {}
 
-  // `id_hash` as in PendingResponse.
+  // Adds a pending response and returns its slot. `id_hash` is as in PendingResponse.
   Slot Add(std::size_t id_hash) { return queue_.Add(id_hash); }
-  // The request of a slot was dispatched; nothing where its response has been written within that call.
+  // Stores the request of a slot after its dispatch. Does nothing if its response was already written during
+  // the dispatch.
   void SetRequest(Slot slot, RequestId request);
   [[nodiscard]] bool empty() const { return queue_.empty(); }
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
-  // Bytes of responses that the socket has not taken, or whose turn has not come.
-  [[nodiscard]] std::size_t UnreadBytes() const { return queue_.buffered_bytes() + Unwritten(connection_); }
+  // Returns the bytes of responses that the socket has not accepted or that wait for earlier responses.
+  [[nodiscard]] std::size_t UnsentBytes() const { return queue_.buffered_bytes() + Unwritten(connection_); }
 
   enum class Result { kNothing, kWritten };
-  // Writes the response once those before it are written; kWritten: now, and those behind it that are ready.
+  // Writes the response once all earlier ones are written. Returns kWritten if it was written now, followed
+  // by the ready responses after it.
   Result Send(Slot slot, std::string_view text);
 
-  // As in ResponseWriter.
+  // These functions correspond to those of ResponseWriter.
   void BeginStream(Slot slot, std::size_t window);
   [[nodiscard]] std::size_t StreamCapacity(Slot slot);
   void WriteStream(Slot slot, evbuffer* from, std::size_t size);
   Result EndStream(Slot slot);
-  // Returns whether the response was pending: the connection has to be closed then, and nothing written.
+  // Returns whether the response was pending. If so, the caller must close the connection and write nothing
+  // more.
   bool AbortStream(Slot slot);
-  // The socket has taken bytes: the first response goes on where it is a streamed one.
+  // Continues the first response if it is a streamed one. The caller calls it after the socket has accepted
+  // bytes.
   void ResumeFirstStream();
 
-  // The connection ends: cancels every request whose response is pending.
+  // Cancels every request whose response is pending, as the connection ends.
   void CancelAll();
-  // Calls `fail` with the slot of each pending response, its request cancelled. A streamed one that is being
-  // written goes on: another response written into it would become part of its value.
+  // Cancels the request of each pending response and calls `fail` with its slot. A streamed response that is
+  // being written continues, because an error response inside it would become part of its value.
   template <typename Fail>
   void FailAll(const Fail& fail);
 
@@ -55,7 +59,7 @@
   bufferevent* connection_;
   ConnectionContext& context_;
   ResponseQueue queue_;
-  std::size_t stream_window_ = 0;  // bytes of a streamed response that may be unwritten
+  std::size_t stream_window_ = 0;  // maximum unwritten bytes of a streamed response
 };
 
 template <typename Fail>
--- a/src/net/downstream/scheduled_close.cpp
+++ b/src/net/downstream/scheduled_close.cpp
@@ -10,15 +10,15 @@
   if (!HasBegun()) schedule_.reset();
 }
 
-void ScheduledClose::OnCommandTaken(std::size_t size) {
-  if (HasBegun()) *bytes_to_take_ -= std::min(*bytes_to_take_, size);
+void ScheduledClose::OnCommandProcessed(std::size_t size) {
+  if (HasBegun()) *bytes_to_process_ -= std::min(*bytes_to_process_, size);
 }
 
 bool ScheduledClose::StopsReading(const CommandReader& reader, Clock::time_point now) const {
   if (!schedule_ || !HasBegun()) return false;
   const safety::ReadingFacts facts{.close_at = schedule_->at,
                                    .commands_until = schedule_->commands_until,
-                                   .bytes_to_take = *bytes_to_take_,
+                                   .bytes_to_take = *bytes_to_process_,
                                    .partial_command = reader.partial_since().has_value()};
   return safety::ReadingAt(facts, now) == safety::Reading::kStops;
 }
--- a/src/net/downstream/scheduled_close.h
+++ b/src/net/downstream/scheduled_close.h
@@ -1,4 +1,5 @@
-// The close of a client connection at a given time: what has arrived by then is taken, and nothing after it.
+// The scheduled close of a client connection: commands that have arrived by the scheduled time are processed,
+// and later ones are not.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_SCHEDULED_CLOSE_H_
 #define POSTSPREAD_NET_DOWNSTREAM_SCHEDULED_CLOSE_H_
 
@@ -12,40 +13,41 @@
 
 namespace postspread::net {
 
-// A connection that is accepted late in a drain is given so long to send a request, ...
+// The time in which a connection accepted late in a drain may send a request.
 inline constexpr std::chrono::milliseconds kLateRequestGrace{100};
-// ... and then so long to complete it.
+// The time in which such a connection may then complete its request.
 inline constexpr std::chrono::milliseconds kLateCommandGrace{400};
 
 struct CloseSchedule {
   Clock::time_point at;
-  Clock::time_point commands_until;  // by then a command that has begun must be complete
+  Clock::time_point commands_until;  // by then a command that has begun to arrive must be complete
   ops::CloseReason reason = ops::CloseReason::kDrained;
 };
 
 class ScheduledClose {
  public:
-  // Replaces an earlier schedule; a close that has begun goes on.
+  // Replaces an earlier schedule. A close that has begun continues.
   void Schedule(const CloseSchedule& schedule) { schedule_ = schedule; }
-  // Nothing where the close has begun.
+  // Cancels the schedule. Does nothing if the close has begun.
   void Cancel();
 
   [[nodiscard]] bool IsDue(Clock::time_point now) const { return schedule_ && now >= schedule_->at; }
-  [[nodiscard]] bool HasBegun() const { return bytes_to_take_.has_value(); }
-  // So many bytes have arrived, and are still taken.
-  void Begin(std::size_t bytes) { bytes_to_take_ = bytes; }
-  void OnCommandTaken(std::size_t size);
-
-  // Once it has begun: whether some of these bytes are not taken yet, and whether they must be now.
-  [[nodiscard]] bool HasBytesToTake() const { return *bytes_to_take_ > 0; }
-  [[nodiscard]] bool MustTakeNow(Clock::time_point now) const { return now >= schedule_->commands_until; }
-  // Whether it has begun, and reading stops now.
+  [[nodiscard]] bool HasBegun() const { return bytes_to_process_.has_value(); }
+  // Begins the close. `bytes` is the number of bytes that have arrived and are still processed.
+  void Begin(std::size_t bytes) { bytes_to_process_ = bytes; }
+  void OnCommandProcessed(std::size_t size);
+
+  // Only after the close has begun: tell whether some of these bytes are not processed yet, and whether they
+  // must be processed now.
+  [[nodiscard]] bool HasBytesToProcess() const { return *bytes_to_process_ > 0; }
+  [[nodiscard]] bool MustProcessNow(Clock::time_point now) const { return now >= schedule_->commands_until; }
+  // Returns whether the close has begun and reading stops now.
   [[nodiscard]] bool StopsReading(const CommandReader& reader, Clock::time_point now) const;
   [[nodiscard]] ops::CloseReason reason() const { return schedule_->reason; }
 
  private:
   std::optional<CloseSchedule> schedule_;
-  std::optional<std::size_t> bytes_to_take_;  // once it has begun
+  std::optional<std::size_t> bytes_to_process_;  // set once the close has begun
 };
 
 }  // namespace postspread::net
--- a/src/net/downstream/write_timeout.h
+++ b/src/net/downstream/write_timeout.h
@@ -1,4 +1,4 @@
-// Detects a client that reads nothing of its responses.
+// Detects a client that stops reading its responses.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_WRITE_TIMEOUT_H_
 #define POSTSPREAD_NET_DOWNSTREAM_WRITE_TIMEOUT_H_
 
@@ -9,11 +9,12 @@
 
 namespace postspread::net {
 
-inline constexpr std::chrono::seconds kWriteTimeout{10};  // without progress
+inline constexpr std::chrono::seconds kWriteTimeout{10};  // since the last progress
 
 class WriteTimeout {
  public:
-  // `unwritten`: bytes that the socket has not taken now. Returns whether none has been taken for too long.
+  // Returns whether the socket has accepted no bytes for kWriteTimeout. `unwritten` is the number of bytes
+  // that the socket has not accepted at `now`.
   bool HasExpired(std::size_t unwritten, Clock::time_point now) {
     if (unwritten == 0 || unwritten != unwritten_) progress_at_ = now;
     unwritten_ = unwritten;
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -1,4 +1,4 @@
-// The gateway: builds its parts, connects them, and handles what signals ask of the process.
+// The gateway process: constructs its components, connects them, and handles reload and shutdown signals.
 #ifndef POSTSPREAD_NET_GATEWAY_SERVER_H_
 #define POSTSPREAD_NET_GATEWAY_SERVER_H_
 
@@ -35,43 +35,43 @@
 
 enum class ReloadResult {
   kComplete,
-  kNeedsRestart,  // some of the new configuration is applied at the next start only
+  kNeedsRestart,  // a part of the new configuration takes effect only after a restart
 };
 
 class GatewayServer {
  public:
-  // Listens at once; throws std::runtime_error where it can't.
+  // Starts to listen. Throws std::runtime_error if a socket can't be opened.
   GatewayServer(event_base* base, const config::Config& config,
                 const operator_file::OperatorFile& operators = {},
                 membership::DisabledDefense disabled = membership::DisabledDefense::kNothing);
   GatewayServer(const GatewayServer&) = delete;
   GatewayServer& operator=(const GatewayServer&) = delete;
 
-  // Applies a valid configuration. Requests in flight, the endpoint list and all statistics stay.
+  // Applies a valid configuration. Requests in flight, the endpoint list and all statistics are kept.
   ReloadResult Reload(const config::Config& config, const operator_file::OperatorFile& operators = {});
-  // A new configuration was rejected.
+  // Counts a new configuration that was rejected.
   void ReloadFailed() { ++metrics_.config_reload_errors; }
-  // The configuration in force.
+  // Returns the configuration that is in effect.
   [[nodiscard]] const config::Config& config() const { return config_; }
 
-  // Begins a graceful shutdown, which ends the event loop.
+  // Begins a graceful shutdown, which ends the event loop when it is complete.
   void Stop() { shutdown_.Start(); }
 
  private:
-  // So that each class is among the metrics from the start.
+  // Exports the metrics of every class from the start, also before its first request.
   void RegisterClassMetrics();
 
   config::Config config_;
-  const operator_file::OperatorFile operators_;  // as it was at the start
+  const operator_file::OperatorFile operators_;  // as read at startup
   planner::Planner planner_;
   const flow::ResourcePartition partition_;
   flow::ByteBudget request_budget_;
-  flow::ByteBudget large_request_budget_;  // while they are read and while they are in flight
+  flow::ByteBudget large_request_budget_;  // covers requests being read and in flight
   ops::Metrics metrics_;
   ops::Lifecycle lifecycle_;
   LoopMonitor loop_monitor_;
-  // Many parts refer to some that come after them. They use these only once all are constructed, or as the
-  // order of the members allows; it is also the order in which sockets are opened.
+  // Many of the following members hold references to members that are declared later. During construction
+  // they use only members that are declared earlier. Sockets are opened in the order of declaration.
   PlannerDriver driver_;
   InFlightRequests in_flight_;
   AdmissionControl admission_;
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -9,11 +9,11 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::seconds kInterval{1};  // between two lines of a RareLog
+constexpr std::chrono::seconds kMinLogInterval{1};  // between two lines of one RareLog
 constexpr char kTextLogger[] = "postspread";
 constexpr char kJsonLogger[] = "postspread-json";
 
-// The JSON pattern is the object around the members that the message consists of.
+// In JSON the message consists of further members, which the pattern encloses in the object.
 constexpr char kTextPattern[] = "postspread: %v";
 constexpr char kJsonPattern[] = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","program":"postspread",%v})";
 
@@ -23,7 +23,7 @@
                                                  std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger->set_pattern(is_json ? kJsonPattern : kTextPattern, spdlog::pattern_time_type::utc);
   logger->flush_on(spdlog::level::trace);
-  // A failure of the log must not stop the service.
+  // A logging failure must not disturb the service.
   logger->set_error_handler([](const std::string&) {});
   return logger;
 }
@@ -56,7 +56,7 @@
 void RareLog::operator()(std::string_view event, std::string_view detail) {
   const auto now = std::chrono::steady_clock::now();
   if (now < next_) return;
-  next_ = now + kInterval;
+  next_ = now + kMinLogInterval;
   Log(event, detail);
 }
 
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,5 @@
-// Log lines on standard error, through spdlog. The wording of each event is fixed; docs/oncall.md lists them.
+// Writes log lines to standard error through spdlog. The text of each event is stable; docs/oncall.md lists
+// the events.
 #ifndef POSTSPREAD_NET_LOG_H_
 #define POSTSPREAD_NET_LOG_H_
 
@@ -10,14 +11,15 @@
 
 enum class LogFormat { kText, kJson };
 
-// Sets the format of all lines from now on; until then it is text. In JSON a line is one object: "time" (UTC,
-// in milliseconds), "program", "event" and, where there is one, "detail".
+// Sets the format of all further lines; the default is text. In JSON each line is one object with the members
+// "time" (UTC, to the millisecond), "program", "event" and, if there is one, "detail".
 void OpenLog(LogFormat format);
 
-// One line: the program's name, the event and its detail, which is the part that varies.
+// Writes one line with the program's name, the event and its detail. Only the detail varies between lines of
+// the same event.
 void Log(std::string_view event, std::string_view detail = {});
 
-// The same at most once a second, for events that may come with every request. Others are dropped.
+// Logs at most one line per second, for events that may occur with every request. Further lines are dropped.
 class RareLog {
  public:
   void operator()(std::string_view event, std::string_view detail = {});
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -19,19 +19,19 @@
 namespace postspread::net {
 namespace {
 
-constexpr int kMaxUsualCallbacks = 64;  // before urgent events are polled for again
+constexpr int kMaxNormalCallbacks = 64;  // between two polls for urgent events
 constexpr int kMaxOpenAttempts = 40;
 constexpr std::chrono::milliseconds kOpenRetryDelay{50};
-constexpr int kMaxInterruptions = 16;  // of one system call by signals, before EINTR is an error
+constexpr int kMaxEintrRetries = 16;  // of one system call, before EINTR is treated as an error
 
 template <typename Call>
 auto RetryInterrupted(Call call) {
   auto result = call();
-  for (int i = 0; i < kMaxInterruptions && result < 0 && errno == EINTR; ++i) result = call();
+  for (int i = 0; i < kMaxEintrRetries && result < 0 && errno == EINTR; ++i) result = call();
   return result;
 }
 
-// The result is that of recv.
+// Peeks at the next byte of the socket and returns the result of recv.
 ssize_t PeekByte(bufferevent* connection) {
   char byte = 0;
   return RetryInterrupted(
@@ -51,16 +51,16 @@
 }  // namespace
 
 EventBase MakeEventBase() {
-  const std::unique_ptr<event_config, Free<event_config_free>> config(event_config_new());
-  if (!config) throw std::runtime_error("no event loop");
-  event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxUsualCallbacks, kUsual);
+  const std::unique_ptr<event_config, HandleDeleter<event_config_free>> config(event_config_new());
+  if (!config) throw std::runtime_error("can't create the event loop");
+  event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxNormalCallbacks, kNormalPriority);
   EventBase base(event_base_new_with_config(config.get()));
-  if (!base || event_base_priority_init(base.get(), kUsual + 1) != 0)
-    throw std::runtime_error("no event loop");
+  if (!base || event_base_priority_init(base.get(), kNormalPriority + 1) != 0)
+    throw std::runtime_error("can't create the event loop");
   return base;
 }
 
-bool IsShortage(int error) {
+bool IsResourceShortage(int error) {
   return error == ENOBUFS || error == ENOMEM || error == ENOSPC || error == ENFILE || error == EMFILE ||
          error == EINTR || error == EAGAIN;
 }
@@ -69,7 +69,7 @@
   for (int i = 0; i < kMaxOpenAttempts; ++i) {
     errno = 0;
     if (open()) return true;
-    if (!IsShortage(errno)) return false;
+    if (!IsResourceShortage(errno)) return false;
     usleep(static_cast<useconds_t>(std::chrono::microseconds(kOpenRetryDelay).count()));
   }
   return false;
@@ -78,7 +78,7 @@
 Timer::Timer(event_base* base, std::function<void()> callback) : callback_(std::move(callback)) {
   event_.reset(evtimer_new(
       base, [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->callback_(); }, this));
-  if (!event_) throw std::runtime_error("no timer");
+  if (!event_) throw std::runtime_error("can't create a timer");
 }
 
 void Timer::Arm(std::chrono::microseconds after) {
@@ -122,8 +122,8 @@
 
 void Write(bufferevent* connection, std::string_view bytes) {
   if (Unwritten(connection) == 0) {
-    // Saves two changes of the poll set and an iteration of the loop for each message. An error is left to
-    // the loop, which reports it with the bytes still unwritten.
+    // A direct send saves two changes of the poll set and a loop iteration per message. The loop reports an
+    // error when it tries to write the remaining bytes.
     const ssize_t sent = send(bufferevent_getfd(connection), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
@@ -133,7 +133,7 @@
 bool BeginWrite(bufferevent* connection, std::string_view bytes) {
   const ssize_t sent = RetryInterrupted(
       [&] { return send(bufferevent_getfd(connection), bytes.data(), bytes.size(), MSG_NOSIGNAL); });
-  if (sent < 0 && IsShortage(errno)) return false;
+  if (sent < 0 && IsResourceShortage(errno)) return false;
   if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
   if (!bytes.empty()) bufferevent_write(connection, bytes.data(), bytes.size());
   return true;
@@ -163,11 +163,12 @@
   setsockopt(bufferevent_getfd(connection), SOL_SOCKET, which, &size, sizeof size);
 }
 
-void ReadNow(bufferevent* connection, std::size_t most) {
+void ReadNow(bufferevent* connection, std::size_t max_size) {
   evbuffer* input = bufferevent_get_input(connection);
-  // A bufferevent freezes the end of its input except for its own reads. An end or an error is left to it.
+  // A bufferevent freezes the end of its input buffer except during its own reads. The bufferevent also
+  // reports the end of the stream and errors.
   evbuffer_unfreeze(input, /*at_front=*/0);
-  evbuffer_read(input, bufferevent_getfd(connection), static_cast<int>(most));
+  evbuffer_read(input, bufferevent_getfd(connection), static_cast<int>(max_size));
   evbuffer_freeze(input, /*at_front=*/0);
 }
 
@@ -190,16 +191,16 @@
   return static_cast<std::size_t>(std::max(bytes, 0));
 }
 
-std::chrono::milliseconds SinceArrival(bufferevent* connection) {
+std::chrono::milliseconds TimeSinceArrival(bufferevent* connection) {
   const std::optional<tcp_info> info = GetTcpInfo(connection);
   return std::chrono::milliseconds(info ? info->tcpi_last_data_recv : 0);
 }
 
-std::chrono::milliseconds WaitedForAccept(bufferevent* connection) {
+std::chrono::milliseconds MaxAcceptDelay(bufferevent* connection) {
   const std::optional<tcp_info> info = GetTcpInfo(connection);
   if (!info || info->tcpi_data_segs_in == 0) return std::chrono::milliseconds(0);
-  // Of several segments the system reports the arrival of the last. Nothing has been sent yet, so the time
-  // without sending is the connection's age.
+  // The system reports only the arrival of the last segment. With several segments the connection's age is
+  // the bound; it equals the time since the last send, as nothing has been sent yet.
   const bool is_exact = info->tcpi_data_segs_in == 1;
   return std::chrono::milliseconds(is_exact ? info->tcpi_last_data_recv : info->tcpi_last_data_sent);
 }
@@ -207,11 +208,11 @@
 bool IsPassingError(short what) {
   const int error = EVUTIL_SOCKET_ERROR();
   if ((what & BEV_EVENT_ERROR) == 0 || (what & BEV_EVENT_CONNECTED) != 0) return false;
-  return IsShortage(error);
+  return IsResourceShortage(error);
 }
 
 bool Watch(bufferevent* connection) {
-  // Enabled with nothing to write, the loop would wake up for it once.
+  // Enabling EV_WRITE again with nothing to write would wake up the loop once for no reason.
   const bool enable_write =
       Unwritten(connection) > 0 || (bufferevent_get_enabled(connection) & EV_WRITE) == 0;
   return bufferevent_enable(connection, static_cast<short>(EV_READ | (enable_write ? EV_WRITE : 0))) == 0;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// Owning wrappers of libevent's handles, and what all connections need of libevent and their sockets.
+// Owning wrappers for libevent handles, and helper functions for connections and their sockets.
 #ifndef POSTSPREAD_NET_LOOP_H_
 #define POSTSPREAD_NET_LOOP_H_
 
@@ -19,30 +19,30 @@
 using Clock = std::chrono::steady_clock;
 
 template <auto kFree>
-struct Free {
+struct HandleDeleter {
   template <typename T>
   void operator()(T* handle) const {
     kFree(handle);
   }
 };
-using EventBase = std::unique_ptr<event_base, Free<event_base_free>>;
-using EventHandle = std::unique_ptr<event, Free<event_free>>;
-using BufferEvent = std::unique_ptr<bufferevent, Free<bufferevent_free>>;
-using Listener = std::unique_ptr<evconnlistener, Free<evconnlistener_free>>;
+using EventBase = std::unique_ptr<event_base, HandleDeleter<event_base_free>>;
+using EventHandle = std::unique_ptr<event, HandleDeleter<event_free>>;
+using BufferEvent = std::unique_ptr<bufferevent, HandleDeleter<bufferevent_free>>;
+using Listener = std::unique_ptr<evconnlistener, HandleDeleter<evconnlistener_free>>;
 
-// Priorities of events: urgent ones run before all others that are due, and are polled for again after a
-// bounded number of other callbacks.
-inline constexpr int kUrgent = 0;
-inline constexpr int kUsual = 1;
+// Event priorities. Due urgent events run before all other due events, and the loop polls for new ones after
+// a bounded number of normal callbacks.
+inline constexpr int kUrgentPriority = 0;
+inline constexpr int kNormalPriority = 1;
 
-// With the priorities above. Throws std::runtime_error.
+// Creates an event loop with the priorities above. Throws std::runtime_error on failure.
 EventBase MakeEventBase();
 
-// Calls `open` until it returns true, and gives up when the error is not a shortage of resources, or after
-// two seconds. Blocks; only before the loop runs.
+// Calls `open` until it returns true. Returns false if errno is not a resource shortage, or after two
+// seconds. The function blocks, so it may only be called before the loop runs.
 bool OpenWithRetries(const std::function<bool()>& open);
 
-// A one-shot timer: calls back once after each Arm; another Arm before that replaces the time.
+// A one-shot timer. Each Arm schedules one callback and replaces a callback that is still pending.
 class Timer {
  public:
   Timer(event_base* base, std::function<void()> callback);
@@ -54,18 +54,20 @@
   EventHandle event_;
 };
 
-// Whether the error of a system call is a temporary shortage of resources, and not a fault of its descriptor.
-bool IsShortage(int error);
+// Returns whether `error`, an errno value, is a temporary resource shortage and not a fault of the
+// descriptor.
+bool IsResourceShortage(int error);
 
-// Begins to connect, without delay of small messages. Null where there is no socket or no route to the
+// Starts to connect, with TCP_NODELAY. Returns null if no socket can be created or there is no route to the
 // address.
 BufferEvent Dial(event_base* base, const config::Address& address, bufferevent_data_cb on_read,
                  bufferevent_data_cb on_written, bufferevent_event_cb on_event, void* context);
 
-// Takes over a connected socket, without delay of small messages. Throws std::bad_alloc; it is closed then.
+// Takes ownership of a connected socket and sets TCP_NODELAY. Throws std::bad_alloc, and closes the socket
+// then.
 BufferEvent AdoptSocket(event_base* base, evutil_socket_t fd);
 
-// The connection's events call these member functions of `owner`, the last one with the kind of event.
+// Makes the connection's events call these member functions of `owner`. kOnEvent receives the libevent flags.
 template <auto kOnRead, auto kOnWritten, auto kOnEvent, typename T>
 void SetCallbacks(bufferevent* connection, T* owner) {
   bufferevent_setcb(
@@ -74,48 +76,51 @@
       [](bufferevent*, short what, void* self) { (static_cast<T*>(self)->*kOnEvent)(what); }, owner);
 }
 
-// Writes at once what the socket takes, and leaves the rest to the loop.
+// Writes immediately as much as the socket accepts, and leaves the rest to the event loop.
 void Write(bufferevent* connection, std::string_view bytes);
 
-// The same on a connection with nothing unwritten, and only where the first byte leaves now. False: the
-// socket takes none for the moment, and nothing was written.
+// Does the same as Write on a connection without unwritten bytes, but only if the socket accepts the first
+// byte now. Returns false, with nothing written, if the socket accepts none for the moment.
 bool BeginWrite(bufferevent* connection, std::string_view bytes);
 
-// Bytes written to `connection` that its socket has not taken yet.
+// Returns the number of bytes written to `connection` that its socket has not accepted yet.
 std::size_t Unwritten(bufferevent* connection);
 
-// The first `size` bytes of the read buffer, contiguous; and what follows them contiguously.
+// Makes the first `size` bytes of the read buffer contiguous, and returns them with all bytes that follow
+// them contiguously. Returns nothing if the buffer holds fewer bytes.
 std::string_view Peek(bufferevent* connection, std::size_t size);
-// The contiguous bytes at the front of the read buffer.
+// Returns the contiguous bytes at the front of the read buffer.
 std::string_view PeekFirst(bufferevent* connection);
-// Bytes in the read buffer.
+// Returns the number of bytes in the read buffer.
 std::size_t ReadSize(bufferevent* connection);
-// Removes bytes from its front.
+// Removes bytes from the front of the read buffer.
 void Consume(bufferevent* connection, std::size_t size);
-// Bounds a buffer of the kernel's: `which` is SO_SNDBUF or SO_RCVBUF.
+// Bounds a kernel buffer of the socket; `which` is SO_SNDBUF or SO_RCVBUF.
 void SetKernelBytes(bufferevent* connection, int which, int size);
-// Reads now what waits at the socket, up to `most` bytes, as the loop would later.
-void ReadNow(bufferevent* connection, std::size_t most);
-// Whether the other end has closed its side, or the connection has failed, even behind bytes that are unread.
+// Reads up to `max_size` bytes that are available at the socket into the read buffer, without waiting for the
+// event loop.
+void ReadNow(bufferevent* connection, std::size_t max_size);
+// Returns whether the other end has shut down its sending side or the connection has failed, even if bytes
+// before that are unread.
 bool HungUp(bufferevent* connection);
-// Whether bytes, an end or an error wait at the socket that the loop has not read yet.
+// Returns whether the socket has bytes, an end of stream or an error that the event loop has not read yet.
 bool HasNews(bufferevent* connection);
-// Whether bytes wait there.
+// Returns whether the socket has bytes that the event loop has not read yet.
 bool HasBytes(bufferevent* connection);
-// Bytes that the socket has taken and the other end has not acknowledged, our end of the stream included; 0
-// where the system does not report it.
+// Returns the number of bytes that the socket has accepted and the other end has not acknowledged, including
+// our end of the stream; 0 if the system does not report it.
 std::size_t Unacknowledged(bufferevent* connection);
-// Whether an event of kind `what` is a temporary shortage of resources and not the end of the connection.
-// Nothing that was to be written is lost. The socket has to be watched again, which the system may refuse,
-// too.
+// Returns whether the libevent flags `what` report a temporary resource shortage and not the end of the
+// connection. No unwritten bytes are lost, but the socket must be watched again, which the system may refuse
+// as well.
 bool IsPassingError(short what);
-// How long ago the last bytes arrived at the socket; 0 where the system does not report it.
-std::chrono::milliseconds SinceArrival(bufferevent* connection);
-// Of a connection that has just been accepted: how long its client's bytes may have waited for that at most;
-// 0 where none have arrived, or the system does not report it.
-std::chrono::milliseconds WaitedForAccept(bufferevent* connection);
-// Reads from now on, and writes what is unwritten. False: the system refused to watch the socket, and has to
-// be asked again.
+// Returns how long ago the last bytes arrived at the socket; 0 if the system does not report it.
+std::chrono::milliseconds TimeSinceArrival(bufferevent* connection);
+// Returns an upper bound on how long the client's bytes have waited for the connection to be accepted. It is
+// valid right after accept; 0 if no bytes have arrived or the system does not report it.
+std::chrono::milliseconds MaxAcceptDelay(bufferevent* connection);
+// Enables reading, and writing of unwritten bytes. Returns false if the system refused to watch the socket;
+// the caller must try again later.
 bool Watch(bufferevent* connection);
 
 }  // namespace postspread::net
--- a/src/net/loop_monitor.cpp
+++ b/src/net/loop_monitor.cpp
@@ -3,25 +3,25 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::chrono::milliseconds kHeartbeat{50};
-// Within two heartbeats after a stall all that arrived meanwhile has been read.
-constexpr std::chrono::milliseconds kBacklog{2 * kHeartbeat};
-// Below the 150 ms by which a request may overrun its deadline.
+constexpr std::chrono::milliseconds kHeartbeatInterval{50};
+// Two heartbeats after a stall, all bytes that arrived during the stall have been read.
+constexpr std::chrono::milliseconds kStallRetention{2 * kHeartbeatInterval};
+// A stall that goes undetected must be shorter than the 150 ms by which a request may overrun its deadline.
 constexpr std::chrono::milliseconds kMinStall{100};
 
 }  // namespace
 
 LoopMonitor::LoopMonitor(event_base* base) : heartbeat_(base, [this] { OnHeartbeat(); }) {
-  heartbeat_.Arm(kHeartbeat);
+  heartbeat_.Arm(kHeartbeatInterval);
 }
 
 void LoopMonitor::OnHeartbeat() {
   const auto now = Clock::now();
-  // This may run before what waits at the sockets is read: a stall is remembered for some time.
-  while (!stalls_.empty() && now - stalls_.front().end > kBacklog) stalls_.pop_front();
+  // The heartbeat may run before the bytes at the sockets are read, so stalls are remembered for some time.
+  while (!stalls_.empty() && now - stalls_.front().end > kStallRetention) stalls_.pop_front();
   if (now - last_heartbeat_ > kMinStall) stalls_.push_back({.begin = last_heartbeat_, .end = now});
   last_heartbeat_ = now;
-  heartbeat_.Arm(kHeartbeat);
+  heartbeat_.Arm(kHeartbeatInterval);
 }
 
 Clock::duration LoopMonitor::StallBefore(Clock::time_point now) const {
--- a/src/net/loop_monitor.h
+++ b/src/net/loop_monitor.h
@@ -1,5 +1,5 @@
-// Detects stalls of the event loop: the process was stopped, or had no processor. What is read right after a
-// stall may have arrived long before, and its client has waited since.
+// Detects stalls of the event loop, in which the process was stopped or got no CPU time. Bytes that are read
+// right after a stall may have arrived long before, and their client has been waiting since then.
 #ifndef POSTSPREAD_NET_LOOP_MONITOR_H_
 #define POSTSPREAD_NET_LOOP_MONITOR_H_
 
@@ -14,8 +14,8 @@
  public:
   explicit LoopMonitor(event_base* base);
 
-  // How long before `now` a stall began during which something that is read now may have arrived; 0 where
-  // there was none.
+  // Returns the time from the start of the oldest stall during which bytes that are read now may have
+  // arrived, until `now`; 0 if there was no such stall.
   [[nodiscard]] Clock::duration StallBefore(Clock::time_point now) const;
 
  private:
@@ -28,7 +28,7 @@
 
   Timer heartbeat_;
   Clock::time_point last_heartbeat_ = Clock::now();
-  std::deque<Stall> stalls_;  // recent ones: what arrived meanwhile may still be unread
+  std::deque<Stall> stalls_;  // recent stalls, oldest first; bytes that arrived meanwhile may be unread
 };
 
 }  // namespace postspread::net
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -12,8 +12,9 @@
 namespace postspread::net {
 namespace {
 
-constexpr std::size_t kMaxDatagramBytes = 1'500;  // a longer one is none of ours: cut off, it is rejected
-constexpr unsigned kMaxDatagramsPerTurn = 16;     // before the event loop turns to other sockets
+// Gateways send no longer datagrams; a longer one is truncated and then rejected.
+constexpr std::size_t kMaxDatagramBytes = 1'500;
+constexpr unsigned kMaxDatagramsPerIteration = 16;  // before the event loop serves other sockets
 constexpr int kPortBits = 16;
 constexpr std::uint64_t kPortMask = 0xffff;
 
@@ -32,8 +33,11 @@
 }  // namespace
 
 PeerLink::PeerLink(event_base* base, const config::Address& listen, std::vector<config::Address> peers,
-                   std::optional<config::Address> all, AddressSharing sharing, OnDatagram on_datagram)
-    : peers_(std::move(peers)), all_(std::move(all)), on_datagram_(std::move(on_datagram)) {
+                   std::optional<config::Address> group_address, AddressSharing sharing,
+                   OnDatagram on_datagram)
+    : peers_(std::move(peers)),
+      group_address_(std::move(group_address)),
+      on_datagram_(std::move(on_datagram)) {
   Open(base, listen, sharing);
 }
 
@@ -97,9 +101,9 @@
 }
 
 void PeerLink::SendToAll(int own_rank, std::string_view bytes) {
-  if (all_) {
+  if (group_address_) {
     [[maybe_unused]] const ssize_t sent =
-        sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, all_->get(), all_->size());
+        sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, group_address_->get(), group_address_->size());
     return;
   }
   for (int rank = 0; rank < static_cast<int>(peers_.size()); ++rank) {
@@ -108,8 +112,8 @@
 }
 
 void PeerLink::Read() {
-  // One at a time: not every platform has the call that receives several at once.
-  for (unsigned i = 0; i < kMaxDatagramsPerTurn; ++i) {
+  // Datagrams are received one at a time, as not every platform has recvmmsg.
+  for (unsigned i = 0; i < kMaxDatagramsPerIteration; ++i) {
     char bytes[kMaxDatagramBytes];
     sockaddr_storage from{};
     socklen_t from_size = sizeof from;
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -1,5 +1,6 @@
-// Datagrams between gateways: of a group, whose addresses are configured, or of any that have this one's
-// address. What a socket does not take is dropped: datagrams may be lost in any case.
+// Sends and receives UDP datagrams between gateways: either within a group of configured addresses, or with
+// any gateway that knows this gateway's address. A datagram that the socket does not accept is dropped, since
+// datagrams may be lost anyway.
 #ifndef POSTSPREAD_NET_PEER_LINK_H_
 #define POSTSPREAD_NET_PEER_LINK_H_
 
@@ -20,31 +21,34 @@
 
 class PeerLink {
  public:
-  // Whether another process may be bound to the same address; datagrams go to the one that bound last.
+  // Tells whether another process may be bound to the same address. The process that bound last receives the
+  // datagrams.
   enum class AddressSharing { kExclusive, kShared };
   using OnDatagram = std::function<void(int rank, std::string_view bytes)>;
   using OnPeerDatagram = std::function<void(std::uint64_t peer, std::string_view bytes)>;
 
-  // `peers`: an address for each rank, the own one included; datagrams from other addresses are dropped.
-  // `all`: an address that reaches all of them. Throws std::runtime_error where `listen` can't be bound.
+  // Exchanges datagrams within a group. `peers` holds the address of each rank, this gateway's included;
+  // datagrams from other addresses are dropped. `group_address` reaches all of them. Throws
+  // std::runtime_error if `listen` can't be bound.
   PeerLink(event_base* base, const config::Address& listen, std::vector<config::Address> peers,
-           std::optional<config::Address> all, AddressSharing sharing, OnDatagram on_datagram);
-  // Receives from any IPv4 address; the sender is identified as by PeerIdOf.
+           std::optional<config::Address> group_address, AddressSharing sharing, OnDatagram on_datagram);
+  // Receives datagrams from any IPv4 address. PeerIdOf defines the sender's number.
   PeerLink(event_base* base, const config::Address& listen, AddressSharing sharing,
            OnPeerDatagram on_peer_datagram);
   ~PeerLink();
   PeerLink(const PeerLink&) = delete;
   PeerLink& operator=(const PeerLink&) = delete;
 
-  // To the gateway of a rank; nothing where there is none.
+  // Sends to the gateway of a rank. Does nothing if the rank is unknown.
   void Send(int rank, std::string_view bytes);
   void SendTo(std::uint64_t peer, std::string_view bytes);
-  // To every other gateway of the group: by the address that reaches all, else one by one.
+  // Sends to every other gateway of the group: one datagram to the group address if there is one, else one to
+  // each peer.
   void SendToAll(int own_rank, std::string_view bytes);
 
-  // An IPv4 address and its port as one number.
+  // Returns an IPv4 address and its port as one number.
   static std::uint64_t PeerIdOf(const sockaddr_in& address);
-  // Such a number as "address:port".
+  // Formats a number of PeerIdOf as "address:port".
   static std::string TextOf(std::uint64_t peer);
 
  private:
@@ -53,7 +57,7 @@
   void Receive(const sockaddr_storage& from, std::string_view bytes);
 
   std::vector<config::Address> peers_;
-  std::optional<config::Address> all_;
+  std::optional<config::Address> group_address_;
   OnDatagram on_datagram_;
   OnPeerDatagram on_peer_datagram_;
   int fd_ = -1;
