--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// A client that disconnects, in each state in which its connection may not be read from: its requests that no
-// upstream has received yet are released.
+// Guards against client disconnects that go unnoticed because the gateway has paused reading from the
+// connection. Requests of a disconnected client must be released if no upstream has received them yet.
 #include <chrono>
 
 #include "partners/slow_port.h"
@@ -9,31 +9,32 @@
 
 using namespace site;
 
-constexpr int kMaxPending = 128;  // requests of one connection; no more commands are read meanwhile
+constexpr int kMaxPendingRequests = 128;  // of one connection; it processes no more commands meanwhile
 
-std::string Many(int count) {
+std::string ReadCommands(int count) {
   std::string out;
   for (int i = 0; i < count; ++i) out += Read("r" + std::to_string(i));
   return out;
 }
 
-// A site whose only upstream is still being connected, so that every request waits for its first byte.
+// A site whose connections to its only upstream are still being established, so that every request waits to
+// be sent.
 struct ConnectingSite {
-  explicit ConnectingSite(const json& changes = json::object()) : site(0, Merged(changes)) {
+  explicit ConnectingSite(const json& changes = json::object()) : site(0, WithoutQuota(changes)) {
     site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
   }
-  static json Merged(const json& changes) {
+  static json WithoutQuota(const json& changes) {
     json out = NoQuota();
     out.merge_patch(changes);
     return out;
   }
-  // The client has just disconnected. That is noticed soon, and none of its requests is sent: the next
-  // request is the first that the upstream sees.
-  void CheckNothingSent() {
+  // Checks, right after the client has disconnected, that the gateway notices this within 1 s and forwards
+  // none of its requests: the next request of another client is the first that the upstream receives.
+  void CheckNoRequestForwarded() {
     const auto disconnected = std::chrono::steady_clock::now();
     slow.Left();
-    CHECK(std::chrono::steady_clock::now() - disconnected <
-          std::chrono::seconds(1));  // 0.1 s on an idle machine
+    // The gateway normally takes 0.1 s.
+    CHECK(std::chrono::steady_clock::now() - disconnected < std::chrono::seconds(1));
     slow.Open();
     Peer other = site.Client();
     other.Send(Read("last"));
@@ -43,34 +44,37 @@
   SlowPort slow;
 };
 
-TEST_CASE("the disconnect of a client with the most pending requests is noticed") {
+TEST_CASE(
+    "given the maximum number of pending requests, when the client disconnects, then none is forwarded") {
   enum class Disconnect { kClose, kReset, kHalfClose };
   const Disconnect disconnect = GENERATE(Disconnect::kClose, Disconnect::kReset, Disconnect::kHalfClose);
   ConnectingSite fixture;
   Peer client = fixture.site.Client();
-  client.Send(Many(kMaxPending + 20));
-  fixture.slow.Dialled(kMaxPending);
+  client.Send(ReadCommands(kMaxPendingRequests + 20));
+  fixture.slow.Dialled(kMaxPendingRequests);
   if (disconnect == Disconnect::kClose) client.Close();
   if (disconnect == Disconnect::kReset) client.Reset();
   if (disconnect == Disconnect::kHalfClose) client.HalfClose();
-  fixture.CheckNothingSent();
+  fixture.CheckNoRequestForwarded();
 }
 
-TEST_CASE("a disconnect behind more bytes than are read ahead is noticed") {
+TEST_CASE("given more unread bytes than the read-ahead, when the client disconnects, then it is noticed") {
   ConnectingSite fixture;
   Peer client = fixture.site.Client();
-  client.Send(Many(kMaxPending));
-  fixture.slow.Dialled(kMaxPending);
+  client.Send(ReadCommands(kMaxPendingRequests));
+  fixture.slow.Dialled(kMaxPendingRequests);
   std::string more;
   while (more.size() < 160'000) more += Command({"PING"});
   for (std::size_t at = 0; at < more.size(); usleep(500)) {
     at += client.SendSome(std::string_view(more).substr(at));
   }
   client.Close();
-  fixture.CheckNothingSent();
+  fixture.CheckNoRequestForwarded();
 }
 
-TEST_CASE("of several such clients all that disconnect between two checks are noticed, and the others stay") {
+TEST_CASE(
+    "given several clients with full read-ahead, when some disconnect between two checks, then all of "
+    "these are noticed and the others stay connected") {
   ConnectingSite fixture;
   std::string more;
   while (more.size() < 100'000) more += Command({"PING"});
@@ -89,14 +93,16 @@
   for (const std::size_t index : {0, 1, 3}) clients[index].Close();
   fixture.site.Resume();
   clients[2].Close();
-  fixture.CheckNothingSent();
+  fixture.CheckNoRequestForwarded();
 }
 
-TEST_CASE("a disconnect is noticed while a large body waits for memory, and behind a malformed command") {
+TEST_CASE(
+    "given a large body that waits for memory or a malformed command, when the client disconnects, then "
+    "it is noticed") {
   const bool has_body = GENERATE(true, false);
   ConnectingSite fixture(json{{"limits", {{"memory_mb", 32}}}});
   const std::string head = "*5\r\n$9\r\nAPI.WRITE\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$4000000\r\n";
-  std::vector<Peer> others;  // which take all of the memory
+  std::vector<Peer> others;  // they reserve all of the memory
   for (int i = 0; i < 2; ++i) {
     others.push_back(fixture.site.Client());
     others.back().Send(head + "xx");
@@ -106,11 +112,12 @@
   client.Send(Read("one") + (has_body ? head + std::string(200, 'x') : "*1\r\n:nonsense\r\n"));
   fixture.slow.Dialled(1);
   client.Close();
-  fixture.CheckNothingSent();
+  fixture.CheckNoRequestForwarded();
 }
 
 TEST_CASE(
-    "a request that waits for the counter is released with its client, and its units are refunded once") {
+    "given a request that waits for the counter, when its client disconnects, then it is released and its "
+    "units are refunded once") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -118,17 +125,17 @@
   const auto call = site.calls().Command();
   CHECK(call.at(2) == "1");
   client.Close();
-  CHECK(site.Ping() == "+PONG\r\n");  // its reply comes after the disconnect
+  CHECK(site.Ping() == "+PONG\r\n");  // the counter replies only after the gateway has seen the disconnect
   site.calls().Send("$1\r\n1\r\n");
   Peer other = site.Client();
   other.Send(Read("two"));
-  CHECK(site.Grant() == 0);  // its own unit, less the refunded one
+  CHECK(site.Grant() == 0);  // the unit of this request less the refunded unit
   CHECK(site.upstream(0).Accept().Command().at(2) == "two");
   other.Send(Read("three"));
   CHECK(site.Grant() == 1);
 }
 
-TEST_CASE("an id can be reused once its client has disconnected") {
+TEST_CASE("given a pending request, when its client disconnects, then its id can be reused") {
   ConnectingSite fixture;
   for (int i = 0; i < 3; ++i) {
     Peer client = fixture.site.Client();
@@ -139,7 +146,9 @@
   }
 }
 
-TEST_CASE("with all descriptors held by idle clients while discovery is down, every peer is reconnected") {
+TEST_CASE(
+    "given idle clients on all descriptors, when discovery and the counter disconnect, then the gateway "
+    "reconnects to both") {
   constexpr int kDescriptors = 64;
   json changes = NoQuota();
   changes["limits"] = {{"sockets", kDescriptors}};
@@ -147,7 +156,7 @@
   site.Start(1);
   site.LimitDescriptors(kDescriptors);
   site.watch().Reset();
-  Peer silent = site.discovery().Accept();  // discovery is down: it says nothing
+  Peer silent = site.discovery().Accept();  // discovery is down and does not respond
   std::vector<Peer> idle;
   for (int i = 0; i < 2 * kDescriptors; ++i) {
     idle.push_back(site.Client());
@@ -156,10 +165,10 @@
   CHECK(site.Ping() == "+PONG\r\n");
   site.calls().Reset();
   Peer counter = site.counter().Accept();
-  // Discovery is back: it answers whichever poll is in flight then.
+  // Discovery has recovered and responds to the poll that is in flight.
   for (;;) {
     Peer watch = site.discovery().Accept();
-    if (watch.Some(4096).empty()) continue;  // timed out meanwhile
+    if (watch.Some(4096).empty()) continue;  // this poll has timed out
     Site::Tell(watch, Site::List(true, site.Entries(0, 1, "Ready")));
     if (watch.Until("\r\n\r\n").find("GET /api/targets?since=41&timeout_ms=2000 ") == 0) break;
   }
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -1,4 +1,5 @@
-// Graceful shutdown: SIGTERM at every awkward moment.
+// Guards against responses lost in a graceful shutdown: SIGTERM arrives while requests, bodies, responses or
+// upstream connections are incomplete.
 #include <chrono>
 
 #include "partners/slow_port.h"
@@ -10,49 +11,53 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kListensOn{500};    // after SIGTERM
-constexpr milliseconds kKillAfter{3'700};  // after SIGTERM, where deadlines are 3 s and longer
+constexpr milliseconds kListeningGrace{500};  // after SIGTERM
+constexpr milliseconds kKillDelay{3'700};     // after SIGTERM, if the longest deadline is at least 3 s
 
 TEST_CASE(
-    "a request that lies in a socket, new or kept, when the process stops listening gets its response") {
+    "given unread requests on a new and an existing connection, when the process stops listening, then "
+    "both get responses") {
   Site site(1, NoQuota());
   site.Start(1);
-  Peer kept = site.Client();
-  CHECK(Site::Ping(kept) == "+PONG\r\n");
+  Peer existing = site.Client();
+  CHECK(Site::Ping(existing) == "+PONG\r\n");
   site.Terminate();
   site.Logged("draining");
   site.Pause();
-  Peer fresh = site.Client();  // accepted by the kernel only
+  Peer fresh = site.Client();  // established by the kernel, not yet accepted by the process
   fresh.Send(Read("fresh"));
-  kept.Send(Read("kept"));
-  // The process is paused past the time to stop listening: that time and both requests are due when it
-  // resumes.
-  usleep(std::chrono::microseconds(kListensOn + milliseconds(100)).count());
+  existing.Send(Read("existing"));
+  // The process is paused until after the time at which it stops listening. When it resumes, both this and
+  // the two requests are due.
+  usleep(std::chrono::microseconds(kListeningGrace + milliseconds(100)).count());
   site.Resume();
   for (int i = 0; i < 2; ++i) {
     Peer upstream = site.upstream(0).Accept();
     const bool is_fresh = upstream.Command().at(2) == "fresh";
     upstream.Send(kValue);
-    CHECK((is_fresh ? fresh : kept).Until("hi\r\n") == "$2\r\nhi\r\n");
+    CHECK((is_fresh ? fresh : existing).Until("hi\r\n") == "$2\r\nhi\r\n");
   }
   CHECK(fresh.Ended());
-  CHECK(kept.Ended());
-  // After the shutdown nothing is read, and a client that goes on sending loses nothing that it was sent.
+  CHECK(existing.Ended());
+  // Once the connection is shut down, the gateway forwards nothing more. A client that still sends must not
+  // lose its response.
   fresh.Send(Read("late"));
   fresh.Close();
-  kept.Close();
+  existing.Close();
   CHECK(site.Wait() == 0);
   CHECK_FALSE(site.upstream(0).Asked());
 }
 
-TEST_CASE("a request at a hanging upstream gets its response before the platform may kill the process") {
+TEST_CASE(
+    "given a request at an unresponsive upstream, when SIGTERM arrives, then the client gets a response "
+    "before the platform may kill the process") {
   Site site(1, NoQuota());
   site.Start(1);
   Peer client = site.Client();
   Peer late = site.Client();
   client.Send(Read("one"));
   Peer upstream = site.upstream(0).Accept();
-  upstream.Command();  // and does not respond
+  upstream.Command();  // the upstream does not respond
   const auto terminated = steady_clock::now();
   site.Terminate();
   site.Logged("draining");
@@ -63,17 +68,18 @@
   const std::string& extras = command.at(3);
   const std::size_t at = extras.find(",d=");
   REQUIRE(at != std::string::npos);
-  CHECK(std::stoi(extras.substr(at + 3)) < kKillAfter.count());  // no more time than the platform leaves
+  CHECK(std::stoi(extras.substr(at + 3)) < kKillDelay.count());  // within the time until the kill
   CHECK(client.Line() == "-ERR failed\r\n");
   CHECK_FALSE(late.Line().empty());
-  CHECK(steady_clock::now() - terminated < kKillAfter);
+  CHECK(steady_clock::now() - terminated < kKillDelay);
   CHECK(client.Ended());
   client.Close();
   late.Close();
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("SIGTERM before the first list ends the process, also when repeated and with SIGHUP") {
+TEST_CASE(
+    "given no endpoint list yet, when SIGTERM arrives, repeated and with SIGHUP, then the process exits") {
   Site site(1);
   Peer watch = site.discovery().Accept();
   site.Terminate();
@@ -84,7 +90,9 @@
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("a command half received at SIGTERM is completed, also on the last connection") {
+TEST_CASE(
+    "given an incomplete command on the last connection, when SIGTERM arrives, then the command can be "
+    "completed") {
   Site site(1, NoQuota());
   site.Start(1);
   Peer client = site.Client();
@@ -105,7 +113,9 @@
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("a shutdown while an upstream is being connected ends what waits, and the process") {
+TEST_CASE(
+    "given a request that waits for an upstream connection, when SIGTERM arrives, then it fails and the "
+    "process exits") {
   Site site(0, NoQuota());
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -119,7 +129,9 @@
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("a value half streamed at SIGTERM arrives complete, and a body that waits for memory is released") {
+TEST_CASE(
+    "given a partly streamed value and bodies that wait for memory, when SIGTERM arrives, then the value "
+    "arrives complete and the bodies are released") {
   json changes = NoQuota();
   changes["limits"] = {{"memory_mb", 32}};
   Site site(1, changes);
@@ -147,7 +159,7 @@
     at += upstream.SendSome(std::string_view(rest).substr(at));
     if (!client.HasMore(1)) continue;
     const std::string part = client.Some(1 << 16);
-    REQUIRE_FALSE(part.empty());  // the connection has ended
+    REQUIRE_FALSE(part.empty());  // empty: the connection was closed
     received += part;
   }
   received += client.Bytes(body.size() - 100 + 2 - received.size());
--- a/tests/net/startup_test.cpp
+++ b/tests/net/startup_test.cpp
@@ -1,4 +1,5 @@
-// A restarted process is ready within 10 s whatever it can't reach, and never before it can serve.
+// Guards against a restart that hangs on an unreachable dependency, or that reports readiness too early. A
+// process must be ready within 10 s of its start, whatever it can't reach, but never before it can serve.
 #include <chrono>
 
 #include "partners/site.h"
@@ -9,13 +10,13 @@
 using namespace site;
 using std::chrono::steady_clock;
 
-constexpr std::chrono::seconds kReadyWithin{10};
+constexpr std::chrono::seconds kReadyTimeout{10};
 
 enum class Discovery { kSilent, kRefuses, kUnreachable };
 
 TEST_CASE(
-    "with a persisted list it is ready in time while discovery is silent, refusing or unreachable and the "
-    "counter is away") {
+    "given a persisted endpoint list, when discovery is silent, refusing or unreachable and the counter "
+    "is unreachable, then the gateway is ready in time") {
   const Discovery discovery = GENERATE(Discovery::kSilent, Discovery::kRefuses, Discovery::kUnreachable);
   Port upstream_port;
   json changes = NoQuota();
@@ -31,8 +32,8 @@
     watch.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   }
   site.WaitUntilReady();
-  CHECK(steady_clock::now() - started < kReadyWithin);
-  Peer client = site.Client();  // being ready, it serves
+  CHECK(steady_clock::now() - started < kReadyTimeout);
+  Peer client = site.Client();  // a ready gateway must serve requests
   client.Send(Read("one"));
   Peer upstream = upstream_port.Accept();
   CHECK(upstream.Command().at(2) == "one");
@@ -40,7 +41,9 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("without a list it is not ready while discovery refuses, and is as soon as a list has arrived") {
+TEST_CASE(
+    "given no endpoint list, when discovery refuses at first, then the gateway is ready only once a list "
+    "has arrived") {
   Site site(1, {{"settings", {{"GroupSize", 300}}}});
   Peer first = site.discovery().Accept();
   CHECK(first.Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
@@ -53,11 +56,11 @@
   second.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   Peer third = site.discovery().Accept();
   third.Until("\r\n\r\n");
-  CHECK(site.Ping() == "-LOADING not serving\r\n");  // a second has passed, and it still has no upstreams
+  CHECK(site.Ping() == "-LOADING not serving\r\n");  // after a second there are still no upstreams
   Site::Tell(third, Site::List(true, site.Entries(0, 1, "Ready")));
   third.Until("\r\n\r\n");
   CHECK(site.Ping() == "+PONG\r\n");
-  CHECK(steady_clock::now() - refused < kReadyWithin);
+  CHECK(steady_clock::now() - refused < kReadyTimeout);
 }
 
 }  // namespace
