--- a/src/net/upstream/attempt_listener.h
+++ b/src/net/upstream/attempt_listener.h
@@ -1,4 +1,5 @@
-// How attempts and health checks report to whoever started them.
+// The interface through which upstream connections report attempts and health checks to the code that started
+// them.
 #ifndef POSTSPREAD_NET_UPSTREAM_ATTEMPT_LISTENER_H_
 #define POSTSPREAD_NET_UPSTREAM_ATTEMPT_LISTENER_H_
 
@@ -28,29 +29,32 @@
 
 enum class StreamEnd { kComplete, kAborted };
 
-// Notified how attempts and health checks end: once each, possibly from within a call of the pool.
+// Receives the outcome of each attempt and health check exactly once, possibly from within a call of the
+// pool.
 class AttemptListener {
  public:
-  // `value` is the complete bulk string of an attempt that succeeded; valid during the call.
+  // `value` is the complete bulk string that a successful attempt returned. It is valid during the call only.
   virtual void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) = 0;
   virtual void OnHealthCheckFinished(const planner::HealthCheckReport& report) = 0;
-  // Whether anyone still waits for the request; called when its first byte is about to be sent.
+  // Returns whether a client still waits for the request. Called right before its first byte is sent.
   virtual bool IsStillNeeded(RequestId request) = 0;
-  // An attempt or health check was not sent, since it would break this rule.
+  // Called when an attempt or health check was not sent because sending it would have broken `rule`.
   virtual void OnRulePrevented(safety::Rule rule) = 0;
-  // The value of an attempt that succeeds is large and has begun to arrive.
+  // How the connection handles a large value.
   enum class Value {
-    kWhole,  // buffer it, and report it with OnAttemptFinished
-    kPass,   // stream it: this call was the attempt's report, and OnStreamFinished follows
-    kNone,   // nobody wants it
+    kWhole,  // buffers it and reports it with OnAttemptFinished
+    kPass,   // streams it: OnLargeValue was the attempt's report, and OnStreamFinished follows
+    kNone,   // closes the connection, since no client waits for the value
   };
+  // Called when an attempt succeeds with a large value whose first bytes have arrived.
   virtual Value OnLargeValue(const planner::AttemptReport& report) = 0;
-  // How many bytes of the stream can be taken now; after 0, UpstreamPool::Resume says when there is capacity.
+  // Returns how many bytes of the stream the client can take now. After 0, UpstreamPool::Resume is called
+  // once there is capacity again.
   virtual std::size_t StreamCapacity(RequestId request) = 0;
-  // Takes `size` bytes from the front of `from`.
+  // Removes `size` bytes from the front of `from` and sends them to the client.
   virtual void StreamValue(RequestId request, evbuffer* from, std::size_t size) = 0;
   virtual void OnStreamFinished(RequestId request, StreamEnd end) = 0;
-  // The last byte of an attempt has been written to the upstream's socket.
+  // Called when the last byte of an attempt has been written to the upstream's socket.
   virtual void OnAttemptWritten() = 0;
 
  protected:
--- a/src/net/upstream/counter_client.cpp
+++ b/src/net/upstream/counter_client.cpp
@@ -17,11 +17,11 @@
 
 constexpr milliseconds kMaintenanceInterval{100};
 constexpr milliseconds kReconnectInterval{200};
-// Without a reply for so long the connection counts as dead: TCP does not notice a counter that vanished.
+// A connection without a reply for this long is closed, since TCP does not detect a counter that vanished.
 constexpr milliseconds kSilenceTimeout{1'000};
-// The counter closes a connection that was idle for some 10 s.
+// Must be below the counter's idle timeout of about 10 s.
 constexpr milliseconds kKeepAliveInterval{2'000};
-constexpr std::size_t kMaxReplyRemainder = 64;  // bytes of a partial reply: a number, or a short line
+constexpr std::size_t kMaxReplyRemainder = 64;  // bytes missing from a number or a short line
 constexpr std::size_t kMaxPendingCalls = 4096;
 constexpr std::int64_t kMaxTtlMs = 60'000;
 
@@ -41,7 +41,8 @@
 }
 
 void AppendCall(const planner::CallCounter& call, std::string& out) {
-  // The counter reads decimal numbers only, so no exponent; the shortest form that gives the same number.
+  // The counter parses plain decimal numbers only. Fixed notation without a precision writes no exponent and
+  // the fewest digits that parse to the same number.
   std::array<char, 400> amount;
   const auto amount_end =
       std::to_chars(amount.data(), amount.data() + amount.size(), call.amount, std::chars_format::fixed).ptr;
@@ -90,13 +91,14 @@
   }
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
   if (is_up_ && IsPassingError(what)) {
-    Watch(connection_.get());  // where this fails, the next maintenance tries again
+    Watch(connection_.get());  // if this fails, RunMaintenance retries it
     return;
   }
   OnConnectionLost(is_up_ ? "closed by the counter" : "connect failed");
 }
 
-// Ends every pending call: one that had not been sent was not added, the others may have been.
+// Reports every pending call. The counter can't have added a call that was not fully written; it may have
+// added the others.
 void CounterClient::OnConnectionLost(std::string_view reason) {
   const std::uint64_t written_bytes = is_up_ ? sent_bytes_ - Unwritten(connection_.get()) : 0;
   connection_.reset();
@@ -105,7 +107,8 @@
   if (std::exchange(was_up_, false) && !is_retired_) lost_log_("counter connection is lost", reason);
   std::deque<PendingCall> calls = std::exchange(calls_, {});
   reported_calls_ = 0;
-  // At once where the counter has replied: a malformed reply now and then must not cost many calls.
+  // Reconnects at once if the counter has replied on this connection, so that an occasional malformed reply
+  // does not fail many calls.
   if (std::exchange(has_replied_, false) && !is_retired_) Connect();
   for (PendingCall& call : calls) {
     const bool was_written = call.end_offset <= written_bytes;
@@ -115,7 +118,7 @@
 
 void CounterClient::RunMaintenance() {
   maintenance_.Arm(kMaintenanceInterval);
-  // No more than a check where the socket is watched; where the system refused that, it is asked again.
+  // Has no effect if the socket is watched. If the system refused to watch it, this retries.
   if (connection_ && is_up_) Watch(connection_.get());
   CheckConnection();
 }
@@ -171,7 +174,7 @@
                      [name](const PendingCall& call) { return !call.is_reported && call.name == name; });
 }
 
-// Calls that time out are reported; their slots stay, so that later replies still find theirs.
+// Reports the calls that time out. Their entries stay in calls_, so that later replies are matched correctly.
 void CounterClient::OnTimeout() {
   const auto now = Clock::now();
   while (reported_calls_ < calls_.size() && calls_[reported_calls_].started_at + timeout_ <= now) {
@@ -205,8 +208,8 @@
         bytes_needed_ > 1 ? Peek(connection_.get(), bytes_needed_) : PeekFirst(connection_.get());
     const resp::Progress progress = resp::ParseReply(bytes, reply);
     if (progress == resp::Progress::kPartial) {
-      // No reply of the counter is an array or that long. Waiting for the rest of what claims to be one would
-      // fail every call behind it until the silence timeout.
+      // The counter never sends arrays or replies of this length. Waiting for the rest of such a reply would
+      // fail every later call until the silence timeout.
       if (bytes.front() == '*' || reply.need > kMaxReplyRemainder) return OnConnectionLost("malformed reply");
       bytes_needed_ = reply.need;
       continue;
@@ -225,8 +228,8 @@
   } else if (calls_.front().is_keep_alive) {
     if (reply.kind != resp::Reply::Kind::kSimple) return OnConnectionLost("malformed reply");
   } else {
-    // Without a total: the amount was added, and no further reply can be trusted. Kept open, the connection
-    // would fail its calls until the silence timeout.
+    // A reply without a total means that the amount was added but that no later reply can be trusted. If the
+    // connection stayed open, its calls would fail until the silence timeout.
     total = ToTotal(reply);
     if (!total) return OnConnectionLost("malformed reply");
   }
--- a/src/net/upstream/counter_client.h
+++ b/src/net/upstream/counter_client.h
@@ -1,4 +1,4 @@
-// Client of the shared counter: one connection, calls pipelined on it, replies matched in order.
+// A client of the shared counter. It pipelines its calls on one connection and matches the replies in order.
 #ifndef POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
 #define POSTSPREAD_NET_UPSTREAM_COUNTER_CLIENT_H_
 
@@ -18,7 +18,8 @@
 
 class CounterListener {
  public:
-  // Called once for each call, for one name in the order of its calls; possibly from within Call.
+  // Called once for each call, possibly from within Call. Reports on one counter name arrive in the order of
+  // its calls.
   virtual void OnCounterReply(planner::CounterReport report) = 0;
 
  protected:
@@ -27,33 +28,33 @@
 
 class CounterClient {
  public:
-  // Connects at once, and again whenever the connection is lost. A call ends within `timeout`. The listener
-  // outlives this.
+  // Connects at once, and reconnects whenever the connection is lost. Each call ends within `timeout`. The
+  // listener must outlive the client.
   CounterClient(event_base* base, config::Address address, std::chrono::microseconds timeout,
                 std::chrono::microseconds dial_timeout, CounterListener& listener);
   CounterClient(const CounterClient&) = delete;
   CounterClient& operator=(const CounterClient&) = delete;
 
-  // Sends the call, or reports it as kUnreachable where there is no connection: a call that is reported as
-  // not added must not be added later, so none waits for a connection.
+  // Sends the call, or reports it as kUnreachable if there is no connection. No call waits for a connection,
+  // because the counter must never add an amount that was reported as not added.
   void Call(planner::CallCounter call);
 
   [[nodiscard]] bool up() const { return is_up_; }
   [[nodiscard]] const config::Address& address() const { return address_; }
 
-  // Another address has replaced this one: a connection that is lost is not opened again.
+  // Stops reconnecting, since the configuration has replaced this address by another.
   void Retire() { is_retired_ = true; }
-  // Whether a call of `name`, or any call, is still to be reported.
+  // These return whether a call of `name`, or any call, is still to be reported.
   [[nodiscard]] bool Awaits(std::string_view name) const;
   [[nodiscard]] bool AwaitsAny() const { return reported_calls_ < calls_.size(); }
 
  private:
   struct PendingCall {
-    std::string name;  // of the counter; empty for a keep-alive, or once reported
+    std::string name;  // the counter's name; empty for a keep-alive, or once reported
     Clock::time_point started_at;
-    std::uint64_t end_offset = 0;  // bytes handed to this connection up to the end of the call
+    std::uint64_t end_offset = 0;  // bytes written to this connection up to the end of the call
     bool is_keep_alive = false;
-    bool is_reported = false;  // timed out; the slot waits for the late reply
+    bool is_reported = false;  // the call has timed out, and the entry waits for the late reply
   };
 
   void Connect();
@@ -77,16 +78,16 @@
   BufferEvent connection_;
   bool is_up_ = false;
   bool has_replied_ = false;  // on this connection
-  bool was_up_ = true;        // so that only changes are logged
+  bool was_up_ = true;        // ensures that only changes are logged
   bool is_retired_ = false;
   RareLog lost_log_;
   RareLog recovered_log_;
   Clock::time_point connect_started_at_;
   Clock::time_point last_used_at_;
-  std::uint64_t sent_bytes_ = 0;    // handed to this connection
-  std::size_t bytes_needed_ = 0;    // for the next step of parsing; 0: unknown
-  std::deque<PendingCall> calls_;   // without a reply, in order
-  std::size_t reported_calls_ = 0;  // of calls_, from the front: those that timed out
+  std::uint64_t sent_bytes_ = 0;    // written to this connection
+  std::size_t bytes_needed_ = 0;    // by the next parsing step; 0 if unknown
+  std::deque<PendingCall> calls_;   // calls without a reply, in order
+  std::size_t reported_calls_ = 0;  // how many calls at the front of calls_ have timed out
   std::string message_;             // scratch space
   Timer timeout_timer_;
   Timer maintenance_;
--- a/src/net/upstream/discovery_watch.cpp
+++ b/src/net/upstream/discovery_watch.cpp
@@ -111,11 +111,12 @@
 }
 
 void DiscoveryWatch::OnEndpointList(config::EndpointList endpoint_list) {
-  // Changes under an index that goes back are relative to a list that was never seen here.
+  // Changes with an index lower than the last one refer to a list that this gateway never received.
   const bool is_unrelated = index_ && !endpoint_list.full && endpoint_list.index < *index_;
   has_list_ = true;
   index_ = is_unrelated ? std::nullopt : std::optional(endpoint_list.index);
-  // The next request goes out before the list is applied: discovery keeps a watch only if it comes at once.
+  // The next poll is sent before the list is applied, since discovery keeps a watch only if the next poll
+  // arrives at once.
   PollAgain();
   const bool has_entries = endpoint_list.full || !endpoint_list.entries.empty();
   if (!is_unrelated && has_entries) on_endpoint_list_(std::move(endpoint_list));
--- a/src/net/upstream/discovery_watch.h
+++ b/src/net/upstream/discovery_watch.h
@@ -1,9 +1,9 @@
-// Follows discovery's endpoint list: requests a snapshot once, then long-polls for changes.
+// Follows discovery's endpoint list: polls for a snapshot once, then long-polls for changes.
 //
-// A request ends with its response or its timeout. From one that failed, was refused or timed out to the next
-// one that is answered no more time passes than discovery::DiscoverySchedule allows, so that a change is in
-// force within its bound. A response that is reset halfway is no list, and neither are bytes behind one.
-// Where the list's index goes back, discovery has started anew: a snapshot is requested.
+// Each poll ends with its response or its timeout. After a poll that failed, was refused or timed out,
+// discovery::DiscoverySchedule bounds the time until the next successful one, so that a change takes effect
+// in time. A response that is reset before its end is discarded, and so are bytes after a response. If the
+// list's index decreases, discovery has restarted, and the watch polls for a snapshot.
 #ifndef POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
 #define POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
 
@@ -24,17 +24,17 @@
  public:
   using EndpointListCallback = std::function<void(config::EndpointList endpoint_list)>;
 
-  // Connects at once. `seed` and `group_size`: see discovery::DiscoverySchedule.
+  // Connects at once. discovery::DiscoverySchedule documents `seed` and `group_size`.
   DiscoveryWatch(event_base* base, config::Address address, std::chrono::microseconds dial_timeout,
                  int group_size, std::uint64_t seed, EndpointListCallback on_endpoint_list);
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // Watches at another address from now on. A snapshot is requested there, as its index may differ.
+  // Watches another address from now on, and polls for a snapshot there, since its index may differ.
   void MoveTo(config::Address address);
   [[nodiscard]] const config::Address& address() const { return address_; }
 
-  // Whether a list has arrived since the start.
+  // Returns whether a list has arrived since construction.
   [[nodiscard]] bool has_list() const { return has_list_; }
 
  private:
@@ -55,9 +55,9 @@
   BufferEvent connection_;
   http::ResponseParser parser_;
   bool has_list_ = false;
-  std::optional<std::uint64_t> index_;  // of the list at this address; nothing: a snapshot is needed
-  bool is_failing_ = false;             // so that only changes are logged
-  Timer timer_;                         // of the connect or response timeout, or of the next connect
+  std::optional<std::uint64_t> index_;  // of the list at this address; unset if a snapshot is needed
+  bool is_failing_ = false;             // ensures that only changes are logged
+  Timer timer_;                         // the connect or response timeout, or the next connect
 };
 
 }  // namespace postspread::net
--- a/src/net/upstream/late_duplicate_detector.h
+++ b/src/net/upstream/late_duplicate_detector.h
@@ -1,6 +1,7 @@
-// Late duplicates: further copies of a response that some upstreams send. One that arrives some milliseconds
-// after the first copy, once the next request is on the connection, can't be told from that
-// request's response. So for some time after a duplicate was seen, a connection rests before its reuse.
+// Protects against late duplicates: further copies of a response that some upstreams send. A duplicate that
+// arrives some milliseconds after the first copy, once the next request has been sent on the connection,
+// can't be distinguished from the response to that request. So for some time after a duplicate was detected,
+// an idle connection is reused only after a delay.
 #ifndef POSTSPREAD_NET_UPSTREAM_LATE_DUPLICATE_DETECTOR_H_
 #define POSTSPREAD_NET_UPSTREAM_LATE_DUPLICATE_DETECTOR_H_
 
@@ -12,19 +13,19 @@
 
 class LateDuplicateDetector {
  public:
-  // Bytes have arrived that no request was waiting for.
-  void Record(Clock::time_point now) { rest_until_ = now + kDetectionPeriod; }
+  // Records that bytes have arrived that belong to no request.
+  void Record(Clock::time_point now) { delay_reuse_until_ = now + kDetectionPeriod; }
 
-  // A connection may be reused now if it has been idle since this time or earlier.
+  // Returns the latest time since which a connection must have been idle to be reused now.
   [[nodiscard]] Clock::time_point ReusableIfIdleSince(Clock::time_point now) const {
-    return now < rest_until_ ? now - kRest : now;
+    return now < delay_reuse_until_ ? now - kReuseDelay : now;
   }
 
  private:
-  static constexpr std::chrono::milliseconds kRest{20};
+  static constexpr std::chrono::milliseconds kReuseDelay{20};
   static constexpr std::chrono::seconds kDetectionPeriod{60};
 
-  Clock::time_point rest_until_;
+  Clock::time_point delay_reuse_until_;
 };
 
 }  // namespace postspread::net
--- a/src/net/upstream/pooled_upstream.h
+++ b/src/net/upstream/pooled_upstream.h
@@ -1,4 +1,4 @@
-// An upstream as the pool knows it: where it is, whether it takes new requests, and its connections.
+// The pool's record of an upstream: its address, whether it takes new requests, and its connections.
 #ifndef POSTSPREAD_NET_UPSTREAM_POOLED_UPSTREAM_H_
 #define POSTSPREAD_NET_UPSTREAM_POOLED_UPSTREAM_H_
 
@@ -17,8 +17,10 @@
   std::string name;
   config::Address address;
   UpstreamState state = UpstreamState::kReady;
-  std::chrono::milliseconds started{0};
-  int incarnation = 0;  // changes with its start and its address: older connections lead to another process
+  std::chrono::milliseconds started{0};  // the start time in the endpoint list
+  // Incremented when the upstream's start time or address changes. Connections of an older incarnation lead
+  // to another process.
+  int incarnation = 0;
   std::vector<std::unique_ptr<UpstreamConnection>> connections;
 };
 
--- a/src/net/upstream/stall_timeout.h
+++ b/src/net/upstream/stall_timeout.h
@@ -1,5 +1,5 @@
-// How long an incomplete response may stand still before it counts as broken off. Adapts to upstreams that
-// write their responses in pieces.
+// Decides after how long without a new byte an incomplete response counts as aborted. Adapts to upstreams
+// that write their responses in pieces.
 #ifndef POSTSPREAD_NET_UPSTREAM_STALL_TIMEOUT_H_
 #define POSTSPREAD_NET_UPSTREAM_STALL_TIMEOUT_H_
 
@@ -13,7 +13,7 @@
   static constexpr std::chrono::milliseconds kMin{50};  // ten times a round trip
   static constexpr std::chrono::milliseconds kMax{1'000};
 
-  // A response went on after this gap.
+  // Records the gap between two reads of one response.
   void RecordGap(std::chrono::microseconds gap) {
     const auto decayed = std::chrono::duration_cast<std::chrono::microseconds>(longest_gap_ * kDecay);
     longest_gap_ = std::max(gap, decayed);
@@ -25,7 +25,7 @@
 
  private:
   static constexpr int kGapMultiple = 3;
-  static constexpr double kDecay = 0.999;  // of the longest gap, with each gap recorded
+  static constexpr double kDecay = 0.999;  // factor on the longest gap for each gap recorded
 
   std::chrono::microseconds longest_gap_{0};
 };
--- a/src/net/upstream/upstream_attempt.cpp
+++ b/src/net/upstream/upstream_attempt.cpp
@@ -53,7 +53,7 @@
   const std::string_view tail = message.tail();
   const bool is_copied = tail.size() <= kMaxCopiedTail;
   buffer.clear();
-  // The clock is read as late as possible, since the process may be held up at any point.
+  // Reads the clock as late as possible, since the system may suspend the process at any point.
   const auto time_left = std::chrono::floor<milliseconds>(deadline - Clock::now());
   message.RenderHead(std::max(milliseconds(1), time_left), buffer);
   if (is_copied) buffer += tail;
--- a/src/net/upstream/upstream_attempt.h
+++ b/src/net/upstream/upstream_attempt.h
@@ -1,4 +1,5 @@
-// One attempt, or health check, on a connection: what is sent, until when, and whether it still may be.
+// One attempt or health check on a connection: its message, its deadline, and the check whether it may still
+// be sent.
 #ifndef POSTSPREAD_NET_UPSTREAM_UPSTREAM_ATTEMPT_H_
 #define POSTSPREAD_NET_UPSTREAM_UPSTREAM_ATTEMPT_H_
 
@@ -16,7 +17,7 @@
 struct UpstreamAttempt {
   enum class Kind { kRequest, kHealthCheck };
 
-  // Begins now, ends within `timeout`; its first byte must arrive within `begin_within`.
+  // The attempt starts now and ends within `timeout`. Its first byte must arrive within `begin_within`.
   static UpstreamAttempt ForRequest(const AttemptKey& key, const resp::EncodedRequest& message,
                                     std::chrono::microseconds timeout,
                                     std::chrono::microseconds begin_within);
@@ -25,23 +26,25 @@
   [[nodiscard]] bool is_health_check() const { return kind == Kind::kHealthCheck; }
   [[nodiscard]] std::chrono::microseconds Elapsed() const;
 
-  // The rule that forbids to send the first byte now; nothing: it may be sent. `connection` holds what is
-  // known of the connection; what is known of the attempt is filled in here.
+  // Returns the rule that forbids sending the first byte now, or nothing if it may be sent. `connection`
+  // holds the facts about the connection; this function adds those about the attempt.
   [[nodiscard]] std::optional<safety::Rule> FindBrokenRule(safety::AttemptFacts connection,
                                                            AttemptListener& listener,
                                                            Clock::time_point now) const;
 
-  // Writes the request with the time that is left. Returns whether the first byte has been sent; if not,
-  // nothing has been written. `buffer` is scratch space.
+  // Writes the request with its remaining time. Returns whether the first byte has been sent; if not, nothing
+  // has been written. `buffer` is scratch space.
   bool Write(bufferevent* connection, std::string& buffer) const;
 
   Kind kind = Kind::kRequest;
-  AttemptKey key;                // of a request
-  resp::EncodedRequest message;  // of a request, until its first byte has been sent
+  AttemptKey key;                // set for a request only
+  resp::EncodedRequest message;  // set for a request only, until its first byte has been sent
   Clock::time_point started_at;
-  Clock::time_point begin_by;  // the first byte may not arrive later
+  Clock::time_point begin_by;  // the latest arrival of the first byte
   Clock::time_point deadline;
-  bool is_fully_written = false;  // counted once, when the last byte has gone to the socket; a request's only
+  // Whether the last byte has been written to the socket, so that the attempt is counted once. Always true
+  // for a health check, which is not counted.
+  bool is_fully_written = false;
 };
 
 }  // namespace postspread::net
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -17,12 +17,12 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Within a large value; its client would not wait for longer.
+// Limits a gap within a large value. Clients do not wait for longer.
 constexpr milliseconds kValueStallTimeout{3'000};
-constexpr milliseconds kSendRetryInterval{5};  // while the socket takes nothing
-// Read ahead of what is parsed or forwarded.
+constexpr milliseconds kSendRetryInterval{5};  // while the socket's send buffer is full
+// Bounds the bytes that are read before they are parsed or forwarded.
 constexpr std::size_t kReadAheadBytes = std::size_t{72} * 1024;
-// The kernel's buffer of a connection that streams a large value.
+// The kernel's receive buffer of a connection that streams a large value.
 constexpr int kStreamKernelBytes = 64 * 1024;
 
 }  // namespace
@@ -102,7 +102,7 @@
   if (IsUnsent()) Close(AttemptResult::kConnectFailed);
 }
 
-// The reply can't be used, and neither can the connection; the request has been executed.
+// Neither the reply nor the connection can be used. The upstream has executed the request.
 void UpstreamConnection::CloseMalformed() {
   context_.malformed_log("upstream response is malformed", upstream_.name);
   Close(AttemptResult::kReset);
@@ -129,8 +129,8 @@
 
 void UpstreamConnection::Begin(UpstreamAttempt attempt) {
   bytes_needed_ = 0;
-  // The message stays in the attempt, not in the connection's buffer: from there it would be sent whatever
-  // has changed by then.
+  // The message stays in the attempt. If it were in the connection's buffer, it would be sent even if the
+  // rules forbade it by then.
   attempt_ = std::move(attempt);
   if (state_ == State::kConnecting) {
     const auto timeout = duration_cast<microseconds>(attempt_.deadline - attempt_.started_at);
@@ -140,8 +140,8 @@
   SendIfAllowed();
 }
 
-// What was decided when the attempt started is checked again right before its first byte is sent, and again
-// with each retry while the socket takes nothing.
+// Checks the rules again right before the first byte is sent, and with each retry while the socket's send
+// buffer is full, since the decision to start the attempt may be outdated.
 void UpstreamConnection::SendIfAllowed() {
   const auto now = Clock::now();
   const std::optional<safety::Rule> rule =
@@ -199,10 +199,10 @@
     if (!can_complete) Close(AttemptResult::kReset);
     return;
   }
-  // Before its last byte has been sent the request can't have been executed; after that it may have been.
+  // The upstream can't have executed a request whose last byte has not been sent.
   const bool never_ran = IsUnsent() || Unwritten(connection_.get()) > 0;
-  // What broke this connection has most likely broken the idle ones beside it: each would cost an attempt
-  // that then counts as one that may have been executed.
+  // The same fault has probably broken the idle connections to this upstream. An attempt on one of them would
+  // fail and would then count as possibly executed.
   owner_.CloseIdleConnections(upstream_);
   Close(never_ran ? AttemptResult::kConnectFailed : AttemptResult::kReset);
 }
@@ -264,7 +264,8 @@
   }
 }
 
-// Returns whether the reply is to be read on as a whole; else it is streamed, or this is closed.
+// Returns whether to continue buffering the reply. Otherwise its value is streamed or the connection is
+// closed.
 bool UpstreamConnection::OnPartialReply(std::string_view bytes) {
   if (state_ == State::kAwaitingReply) Transition(State::kReadingReply);
   resp::LargeValue large;
@@ -275,7 +276,7 @@
   return true;
 }
 
-// A reply that stalls halfway does not go on, and the attempt's own timeout would leave no time for a retry.
+// A reply that stalls is unlikely to continue, and the attempt's own timeout would leave no time for a retry.
 void UpstreamConnection::ArmStallTimer() {
   if (state_ != State::kReadingReply) return;
   const auto time_left = duration_cast<microseconds>(attempt_.deadline - Clock::now());
@@ -288,13 +289,14 @@
   const std::optional<UpstreamReply> outcome = DecodeReply(reply, attempt_.kind);
   if (!outcome) return CloseMalformed();
   timer_.Disarm();
-  // The value is a slice of what was read: that is consumed, and the connection free, after the report only.
+  // The value is a slice of the read buffer, so the buffer is consumed and the connection released only after
+  // the report.
   Transition(State::kDrainingReply);
   Report(*outcome);
   Release(reply.size);
 }
 
-// The reply has been read: the connection takes another attempt.
+// Makes the connection available for another attempt once its reply has been read.
 void UpstreamConnection::Release(std::size_t reply_size) {
   Consume(connection_.get(), reply_size);
   if (bytes_needed_ > kReadAheadBytes) {
@@ -309,7 +311,7 @@
 
 // ---- Streaming a large value
 
-// Returns whether the value is streamed, or this is closed; else it is to be read as a whole.
+// Returns whether the value is streamed or the connection is closed. Otherwise the value is buffered.
 bool UpstreamConnection::BeginStream(const resp::LargeValue& large) {
   const auto handling = context_.listener.OnLargeValue({.request = attempt_.key.request,
                                                         .attempt = attempt_.key.attempt,
@@ -334,7 +336,7 @@
     case ValueStream::Progress::kNeedsInput:
       return timer_.Arm(kValueStallTimeout);
     case ValueStream::Progress::kClientFull:
-      // The upstream is not read from meanwhile, and no timeout runs for it.
+      // Reads nothing from the upstream and runs no timeout until the client has capacity again.
       is_stream_paused_ = true;
       bufferevent_disable(connection_.get(), EV_READ);
       return timer_.Disarm();
@@ -361,7 +363,7 @@
   DrainReply();
 }
 
-// Reads what follows a streamed value in its reply, so that the connection can be reused.
+// Reads the parts after the streamed value, so that the connection can be reused.
 void UpstreamConnection::DrainReply() {
   resp::Reply reply;
   for (;;) {
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -1,5 +1,5 @@
-// One connection to an upstream, and the attempt or health check on it. It owns what it carries: each ends
-// exactly once, by a reply, a timeout, a broken rule or the end of the connection.
+// One connection to an upstream and the attempt or health check on it. The connection owns the attempt and
+// reports it exactly once, after a reply, a timeout, a broken rule or the loss of the connection.
 #ifndef POSTSPREAD_NET_UPSTREAM_UPSTREAM_CONNECTION_H_
 #define POSTSPREAD_NET_UPSTREAM_UPSTREAM_CONNECTION_H_
 
@@ -24,7 +24,7 @@
 class UpstreamConnection;
 struct PooledUpstream;
 
-// What all connections of a pool share.
+// The state that all connections of a pool share.
 struct UpstreamConnectionContext {
   event_base* base = nullptr;
   std::chrono::microseconds connect_timeout{0};
@@ -36,12 +36,13 @@
   RareLog malformed_log{};
 };
 
-// Holds the connections and the index of attempts.
+// Owns the connections and the index of attempts by key.
 class UpstreamConnectionOwner {
  public:
-  // Hands the connection over, so that it lives until its caller returns.
+  // Removes the connection and returns it, so that it lives until its caller, which may be the connection
+  // itself, returns.
   virtual std::unique_ptr<UpstreamConnection> Remove(UpstreamConnection& connection) = 0;
-  // The attempt takes no more calls.
+  // Removes the attempt from the index, so that it receives no more calls.
   virtual void RemoveAttempt(const AttemptKey& key) = 0;
   virtual void CloseIdleConnections(PooledUpstream& upstream) = 0;
 
@@ -51,30 +52,32 @@
 
 class UpstreamConnection {
  public:
-  // The references outlive this.
+  // The referenced objects must outlive the connection.
   UpstreamConnection(UpstreamConnectionContext& context, UpstreamConnectionOwner& owner,
                      PooledUpstream& upstream);
   UpstreamConnection(const UpstreamConnection&) = delete;
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
-  // Called once, before all else. False: the connection can't be opened.
+  // Called once, before any other function. Returns false if the connection can't be opened.
   bool Connect();
 
-  // Starts an attempt or health check: at once where idle, else when the connection is up.
+  // Starts an attempt or health check: at once if the connection is idle, otherwise once it is established.
   void Begin(UpstreamAttempt attempt);
 
-  // Ends what is in flight by closing the connection, which is destroyed.
+  // Closes and destroys the connection, and reports the attempt in flight with `result`.
   void Close(planner::AttemptResult result);
-  // Does so where nothing of it has been sent: it can go to another upstream.
+  // Closes the connection if no byte of its attempt has been sent, so that the attempt can be retried at
+  // another upstream.
   void CloseIfUnsent();
 
-  // The client has capacity again for the value that is streamed.
+  // Continues the streamed value after its client has capacity again.
   void Resume();
 
   [[nodiscard]] bool is_idle() const { return state_ == State::kIdle; }
   [[nodiscard]] Clock::time_point idle_since() const { return idle_since_; }
-  // Whether something has arrived at the idle connection that the loop has not seen yet, so that it can't be
-  // reused: its end would reset the next request, a late duplicate would be taken for its reply.
+  // Returns whether the socket of the idle connection has an event that the loop has not processed yet, so
+  // that the connection can't be reused: a close would reset the next request, and a late duplicate would be
+  // taken for its reply.
   [[nodiscard]] bool IsStale() const { return HasNews(connection_.get()); }
   [[nodiscard]] bool HasUnsolicitedBytes() const { return HasBytes(connection_.get()); }
 
@@ -82,12 +85,12 @@
 
  private:
   enum class State {
-    kConnecting,      // an attempt waits for the connection to come up
-    kAwaitingSend,    // up; no byte of the attempt has been sent
+    kConnecting,      // an attempt waits for the connection to be established
+    kAwaitingSend,    // the connection is established; no byte of the attempt has been sent
     kAwaitingReply,   // the attempt's first byte has been sent, nothing has arrived
     kReadingReply,    // a reply has begun and is incomplete
     kStreamingValue,  // the attempt is reported; its value is being forwarded
-    kDrainingReply,   // the attempt is reported; what is left of the reply is being read
+    kDrainingReply,   // the attempt is reported; the rest of its reply is being read
     kIdle,
     kClosed,  // removed from its owner
   };
@@ -129,17 +132,17 @@
   UpstreamConnectionContext& context_;
   UpstreamConnectionOwner& owner_;
   PooledUpstream& upstream_;
-  const int incarnation_;  // of the upstream, when this was opened
+  const int incarnation_;  // the upstream's when this connection was opened
   BufferEvent connection_;
   Timer timer_;
   State state_ = State::kConnecting;
   UpstreamAttempt attempt_;
   ValueStream stream_;
-  bool is_stream_paused_ = false;    // the client has no capacity
-  bool is_upstream_closed_ = false;  // while the attempt is reported: all that will arrive has arrived
-  std::size_t bytes_needed_ = 0;     // for the next step of parsing; 0: unknown
+  bool is_stream_paused_ = false;    // because the client has no capacity
+  bool is_upstream_closed_ = false;  // the upstream has closed the connection after the attempt was reported
+  std::size_t bytes_needed_ = 0;     // by the next parsing step; 0 if unknown
   Clock::time_point connect_started_at_;
-  std::chrono::microseconds delay_bound_{0};  // longest way of a byte to the upstream; known once connected
+  std::chrono::microseconds delay_bound_{0};  // maximum delay of a byte to the upstream; set once connected
   Clock::time_point last_read_at_;            // within a reply
   Clock::time_point idle_since_;
 };
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -14,7 +14,8 @@
 using std::chrono::microseconds;
 
 constexpr std::chrono::milliseconds kMaintenanceInterval{1'000};
-// Of the upstreams' idle limit: a request sent at the limit itself would meet a reset.
+// The fraction of the upstreams' idle limit within which a connection is reused. A request that is sent at
+// the limit itself would be reset.
 constexpr double kIdleLimitFraction = 0.7;
 
 std::string HealthCheckCommand() {
@@ -38,7 +39,7 @@
 
 UpstreamPool::~UpstreamPool() = default;
 
-// ---- Discovery's list
+// ---- Endpoint list
 
 PooledUpstream& UpstreamPool::FindOrAdd(const std::string& name) {
   std::unique_ptr<PooledUpstream>& upstream = upstreams_[name];
@@ -57,7 +58,7 @@
   for (const config::Endpoint& entry : endpoint_list.entries) {
     PooledUpstream& upstream = FindOrAdd(entry.upstream.name);
     const bool has_moved = !(upstream.address == entry.address) && entry.address.size() > 0;
-    // A new process or a new address: connections to the old one are of no more use.
+    // After a restart or a change of address, the old connections lead to the former process.
     if (has_moved || upstream.started != entry.upstream.started) {
       ++upstream.incarnation;
       CloseIdleConnections(upstream);
@@ -72,12 +73,13 @@
     if (upstream->state != UpstreamState::kReady) not_ready.push_back(upstream.get());
   }
   for (PooledUpstream* upstream : not_ready) CloseIdleConnections(*upstream);
-  // What has not been sent goes to another upstream. Its reports come back last, when the list is in force.
+  // Closes connections with unsent attempts, which can be retried at another upstream. This comes last, so
+  // that the retries find the whole list applied.
   for (PooledUpstream* upstream : replaced) CloseUnsent(*upstream);
   for (PooledUpstream* upstream : not_ready) CloseUnsent(*upstream);
 }
 
-// A report may close further connections.
+// The report of a closed attempt may close further connections.
 void UpstreamPool::CloseUnsent(PooledUpstream& upstream) {
   for (std::size_t i = upstream.connections.size(); i-- > 0;) {
     if (i < upstream.connections.size()) upstream.connections[i]->CloseIfUnsent();
@@ -126,14 +128,15 @@
 
 // ---- Connections
 
-// A connection for a new attempt; null: there is none to be had.
+// Returns a connection for a new attempt, or null if none is available.
 UpstreamConnection* UpstreamPool::Acquire(PooledUpstream& upstream) {
   if (upstream.state != UpstreamState::kReady) return nullptr;
   UpstreamConnection* idle = FindIdle(upstream);
   return idle != nullptr ? idle : Open(upstream);
 }
 
-// The one used last, so that the others may reach their idle limit; null: none can be reused.
+// Returns the most recently used idle connection, so that the others reach their idle limit, or null if none
+// can be reused.
 UpstreamConnection* UpstreamPool::FindIdle(PooledUpstream& upstream) {
   for (;;) {
     UpstreamConnection* best = nullptr;
@@ -162,7 +165,7 @@
   return upstream.connections.emplace_back(std::move(connection)).get();
 }
 
-// Closes the connection that has been idle for longest. False: none is idle.
+// Closes the connection that has been idle for longest. Returns false if none is idle.
 bool UpstreamPool::EvictIdle() {
   UpstreamConnection* oldest = nullptr;
   for (auto& [name, upstream] : upstreams_) {
@@ -178,7 +181,7 @@
 std::unique_ptr<UpstreamConnection> UpstreamPool::Remove(UpstreamConnection& connection) {
   auto& connections = connection.upstream().connections;
   const auto found = std::find_if(connections.begin(), connections.end(),
-                                  [&connection](const auto& held) { return held.get() == &connection; });
+                                  [&connection](const auto& owned) { return owned.get() == &connection; });
   std::unique_ptr<UpstreamConnection> removed = std::move(*found);
   connections.erase(found);
   --open_connections_;
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -1,4 +1,5 @@
-// Connections to upstreams: one attempt at a time on each, so that no reply waits behind another.
+// Owns the connections to all upstreams. Each connection carries one attempt at a time, so that no reply
+// waits for another.
 #ifndef POSTSPREAD_NET_UPSTREAM_UPSTREAM_POOL_H_
 #define POSTSPREAD_NET_UPSTREAM_UPSTREAM_POOL_H_
 
@@ -23,33 +24,33 @@
  public:
   struct Limits {
     std::chrono::microseconds dial_timeout{0};
-    std::chrono::microseconds idle{0};  // upstreams close a connection that was idle for so long
-    std::size_t connections = 0;        // open at once
+    std::chrono::microseconds idle{0};  // after which upstreams close an idle connection
+    std::size_t connections = 0;        // maximum of open connections
   };
 
-  // The listener outlives this.
+  // The listener must outlive the pool.
   UpstreamPool(event_base* base, Limits limits, AttemptListener& listener);
   ~UpstreamPool();
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
 
-  // Applies an update of discovery's list: addresses, restarts, and which upstreams take new requests.
+  // Applies an update of the endpoint list: addresses, restarts, and which upstreams take new requests.
   void Apply(const config::EndpointList& endpoint_list);
 
-  // Writes `message` to a connection to the upstream; the attempt ends within `timeout`, or with the last
-  // byte of a large value that has begun to arrive by then. Where the connection has to be opened first, what
-  // allowed the attempt is checked again before its first byte is sent: if nobody waits for the request any
-  // more, the upstream is not ready any more, or the first byte would arrive later than `begin_within` from
-  // now, the attempt ends as kConnectFailed. A byte is taken to need as long to arrive as the connection took
-  // to come up (at least a round trip), and at most the dial timeout. The message tells the upstream what is
-  // left of `timeout` when it is written.
+  // Writes `message` to a connection to the upstream. The attempt ends within `timeout`, or with the last
+  // byte of a large value that has begun to arrive by then. If the connection has to be opened first, the
+  // rules are checked again before the first byte is sent: if no client waits for the request, the upstream
+  // is not ready any more, or the first byte would arrive later than `begin_within` from now, the attempt
+  // ends as kConnectFailed. The delay of the first byte is estimated as the time that the connection took to
+  // be established (at least a round trip), and at most the dial timeout. The message tells the upstream the
+  // rest of `timeout` at the time of writing.
   void StartAttempt(const AttemptKey& key, const std::string& upstream, const resp::EncodedRequest& message,
                     std::chrono::microseconds timeout, std::chrono::microseconds begin_within);
-  // The client has capacity again for the attempt's streamed value.
+  // Continues the attempt's streamed value after its client has capacity again.
   void Resume(const AttemptKey& key);
   // Ends an attempt by closing its connection.
   void CancelAttempt(const AttemptKey& key);
-  // Requests an upstream's load report.
+  // Requests the load report of an upstream.
   void StartHealthCheck(const std::string& upstream);
 
  private:
@@ -69,7 +70,7 @@
   void RunMaintenance();
 
   const Limits limits_;
-  const std::chrono::microseconds max_idle_;  // a connection that was idle for longer is not reused
+  const std::chrono::microseconds max_idle_;  // maximum idle time of a connection that is reused
   UpstreamConnectionContext context_;
   std::unordered_map<std::string, std::unique_ptr<PooledUpstream>> upstreams_;  // by name
   std::unordered_map<AttemptKey, UpstreamConnection*, AttemptKeyHash> attempts_;
--- a/src/net/upstream/upstream_reply.cpp
+++ b/src/net/upstream/upstream_reply.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-// An array of the value, usage figures and a load report; the last two may be absent.
+// Decodes an array of the value, the usage values and the load report. The last two may be absent.
 std::optional<UpstreamReply> DecodeValue(const resp::Reply& reply) {
   if (reply.kind != Kind::kArray || reply.count < 1) return std::nullopt;
   if (reply.parts[0].null || reply.first_raw.front() != '$') return std::nullopt;
--- a/src/net/upstream/upstream_reply.h
+++ b/src/net/upstream/upstream_reply.h
@@ -1,4 +1,4 @@
-// What a complete reply of an upstream says about the attempt or health check.
+// Decodes the complete reply of an upstream to an attempt or health check.
 #ifndef POSTSPREAD_NET_UPSTREAM_UPSTREAM_REPLY_H_
 #define POSTSPREAD_NET_UPSTREAM_UPSTREAM_REPLY_H_
 
@@ -16,10 +16,10 @@
   planner::AttemptResult result = planner::AttemptResult::kError;
   UpstreamLoad load;
   ReportedUsage use;
-  std::string_view value;  // a slice of the reply
+  std::string_view value;  // a slice of the reply, with its framing
 };
 
-// Nothing: the reply is malformed.
+// Returns nothing if the reply is malformed.
 std::optional<UpstreamReply> DecodeReply(const resp::Reply& reply, UpstreamAttempt::Kind kind);
 
 }  // namespace postspread::net
--- a/src/net/upstream/value_stream.cpp
+++ b/src/net/upstream/value_stream.cpp
@@ -18,8 +18,8 @@
                                            AttemptListener& listener) {
   while (remaining_ > 0) {
     const std::size_t available = ReadSize(connection);
-    // The line end is forwarded last and together, after the check that it is one: until then a value of the
-    // wrong length can be aborted.
+    // The final line end is verified before any of it is forwarded, so that a value of the wrong length can
+    // still be aborted.
     const bool is_complete = available >= remaining_;
     if (is_complete && !EndsWithLineEnd(connection)) return Progress::kMalformed;
     const std::size_t ready = is_complete ? remaining_ : std::min(available, remaining_ - kLineEndSize);
--- a/src/net/upstream/value_stream.h
+++ b/src/net/upstream/value_stream.h
@@ -1,4 +1,4 @@
-// A large value on its way from an upstream's connection to the client, forwarded as it arrives.
+// Forwards a large value from an upstream's connection to the client as it arrives.
 #ifndef POSTSPREAD_NET_UPSTREAM_VALUE_STREAM_H_
 #define POSTSPREAD_NET_UPSTREAM_VALUE_STREAM_H_
 
@@ -13,21 +13,21 @@
 class ValueStream {
  public:
   enum class Progress {
-    kNeedsInput,  // all that has arrived is forwarded
-    kClientFull,  // the client has no capacity
+    kNeedsInput,  // all bytes that have arrived are forwarded
+    kClientFull,  // the client has no capacity for more bytes
     kComplete,
     kMalformed,  // the value does not end where its length says
   };
 
-  // Begins with the value's own framing at the front of what was read.
+  // Starts a stream. The value's own framing must be at the front of the read buffer.
   void Begin(const resp::LargeValue& value);
 
-  // Forwards what has arrived, as far as the client has capacity.
+  // Forwards the bytes that have arrived, as far as the client has capacity.
   Progress Forward(bufferevent* connection, RequestId request, AttemptListener& listener);
 
-  // Bytes that are still to be forwarded, framing included.
+  // Returns the number of bytes that are still to be forwarded, including the framing.
   [[nodiscard]] std::size_t remaining() const { return remaining_; }
-  // Parts of the reply that follow the value.
+  // Returns the number of parts that follow the value in its reply.
   [[nodiscard]] std::size_t trailing_parts() const { return trailing_parts_; }
 
  private:
