--- a/tests/net/upstream/discovery_watch_test.cpp
+++ b/tests/net/upstream/discovery_watch_test.cpp
@@ -1,5 +1,5 @@
-// Polls of discovery that are refused, time out, are reset halfway or move, and how soon a change is in force
-// all the same.
+// The discovery watch under faults: polls that are refused, time out or are reset within the response, and a
+// change of discovery's address. Checks that changes of the endpoint list still take effect in time.
 #include <chrono>
 
 #include "partners/site.h"
@@ -13,9 +13,10 @@
 
 std::string NextPoll(Peer& watch) { return watch.Until("\r\n\r\n"); }
 
-// Polls without a backoff would keep an overloaded discovery overloaded; a backoff in proportion to the group
-// would leave a large group without changes for too long.
-TEST_CASE("a refused poll of discovery is repeated after a backoff, and soon enough in any group") {
+// Without a backoff, the polls would keep an overloaded discovery overloaded. With a backoff in proportion to
+// the group size, a large group would miss changes for too long.
+TEST_CASE(
+    "a refused poll of discovery is retried after a backoff that stays within the bound for any group size") {
   const int group = GENERATE(2, 20, 300);
   INFO(group << " gateways");
   Site site(1, {{"settings", {{"GroupSize", group}}}});
@@ -33,13 +34,15 @@
   CHECK(std::chrono::steady_clock::now() - started < kChangeBound);
 }
 
-TEST_CASE("a watch that goes silent after the first list is reopened, and a refusal then costs little") {
+TEST_CASE(
+    "given a watch that stops responding, when the next polls stall and are refused, then the one after "
+    "them is still in time") {
   Site site(1, {{"settings", {{"GroupSize", 300}}}});
   site.Start(1);
   const auto started = std::chrono::steady_clock::now();
-  Peer second = site.discovery().Accept();  // the first goes silent
+  Peer second = site.discovery().Accept();  // the first connection gets no response
   CHECK(NextPoll(second).find("GET /api/targets?since=41&timeout_ms=500 ") == 0);
-  second.Send("HTTP/1.1 503 Busy\r\n");  // and stalls in the middle of the next answer
+  second.Send("HTTP/1.1 503 Busy\r\n");  // the response stalls before its end
   Peer third = site.discovery().Accept();
   CHECK(NextPoll(third).find("GET /api/targets?since=41&timeout_ms=500 ") == 0);
   third.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -50,7 +53,7 @@
   CHECK(NextPoll(fourth).find("GET /api/targets?since=41&timeout_ms=2000 ") == 0);
 }
 
-TEST_CASE("a response without a length is a list if it ends, and none if it is reset") {
+TEST_CASE("a response without a length is applied if the connection closes, and discarded if it is reset") {
   const bool is_reset = GENERATE(true, false);
   Site site(1);
   site.Start(1);
@@ -66,7 +69,7 @@
   CHECK(NextPoll(next).find(is_reset ? "GET /api/targets?since=41&" : "GET /api/targets?since=42&") == 0);
 }
 
-TEST_CASE("a response that is reset within its body is no list") {
+TEST_CASE("a response whose connection is reset within the body is discarded") {
   Site site(1);
   site.Start(1);
   json list = Site::List(false, site.Entries(0, 1, "Gone"));
@@ -77,12 +80,12 @@
   site.watch().Reset();
   Peer next = site.discovery().Accept();
   CHECK(NextPoll(next).find("GET /api/targets?since=41&") == 0);
-  site.Hold("one").Serve();  // still listed
+  site.Hold("one").Serve();  // the upstream is still in the list
 }
 
 TEST_CASE(
-    "a list whose index goes back is requested as a snapshot, an indented one is read, an empty one changes "
-    "nothing") {
+    "when the list's index decreases a snapshot is polled, an indented list is parsed, and an empty list "
+    "changes nothing") {
   Site site(1);
   site.Start(1);
   json list = Site::List(false, json::array());
@@ -101,19 +104,21 @@
   site.Hold("one").Serve();
 }
 
-TEST_CASE("bytes behind a response of discovery are ignored, and the next poll has a connection of its own") {
+TEST_CASE("bytes after a response of discovery are discarded, and the next poll opens a new connection") {
   Site site(1);
   site.Start(1);
   const std::string body = Site::List(false, json::array()).dump();
   const std::string response =
       "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   site.watch().Send(response + response);
-  CHECK(site.watch().Ended());  // not polled any more
+  CHECK(site.watch().Ended());  // no further poll uses this connection
   Peer next = site.discovery().Accept();
   CHECK(NextPoll(next).find("GET /api/targets?since=41&timeout_ms=2000 ") == 0);
 }
 
-TEST_CASE("SIGHUP moves the watch within a response, and the rest of that is not waited for") {
+TEST_CASE(
+    "when SIGHUP changes discovery's address within a response, then the watch reconnects without waiting "
+    "for its rest") {
   Site site(1);
   site.Start(1);
   const std::string body = Site::List(false, site.Entries(0, 1, "Gone")).dump();
--- a/tests/net/upstream/upstream_pool_test.cpp
+++ b/tests/net/upstream/upstream_pool_test.cpp
@@ -1,6 +1,6 @@
-// Attempts at upstreams: what was allowed when an attempt was decided and is not any more when its first byte
-// would be sent (connecting takes a second, and something happens meanwhile), and responses that can't be
-// used.
+// Attempts at upstreams. In several tests a connect takes a second while the conditions change: an attempt
+// that was allowed when it was decided must not be sent if a rule forbids it by then. Others send
+// responses that can't be used.
 #include "partners/slow_port.h"
 
 namespace postspread {
@@ -13,8 +13,8 @@
                   "c=change,t=team,d=60000,k=00000000000000aa,units=1,spread=2,first=0", "x"});
 }
 
-// A site with a class whose keys hold over all upstreams for a window of microseconds, and a second upstream
-// that takes a second to connect to.
+// A site with a class whose idempotency keys are valid at all upstreams for `window_us`, and a second
+// upstream whose connect takes a second.
 struct SlowSecondUpstream {
   explicit SlowSecondUpstream(std::int64_t window_us)
       : site(1, {{"settings",
@@ -28,20 +28,21 @@
                       {"KeyTtl", window_us}}}}}}}) {
     site.Start(1);
   }
-  // The list gets the slow upstream in the place of the first, which ends nothing that is under way there.
+  // Replaces the first upstream by the slow one in the endpoint list. Requests in flight at the first
+  // continue.
   void ReplaceBySlow() {
     json entries = site.Entries(0, 1, "Terminating");
     entries.push_back({{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}});
     site.Tell(Site::List(false, entries));
-    site.watch().Until("\r\n\r\n");  // the next call: the list is in force
+    site.watch().Until("\r\n\r\n");  // the next poll shows that the list is applied
   }
   Site site;
   SlowPort slow;
 };
 
-TEST_CASE("a retry whose connect outlasts its key's window is not sent") {
-  // Over when the connection comes up, a second later; over once the first byte's delay is added; and open,
-  // so that the retry is sent.
+TEST_CASE("a retry is not sent if its idempotency key expires during the connect") {
+  // Three cases: the window is over when the connection is established a second later, it ends within the
+  // first byte's delay, or it is still open, so that the retry is sent.
   const std::int64_t window_us = GENERATE(700'000, 1'600'000, 30'000'000);
   const bool is_open = window_us == 30'000'000;
   SlowSecondUpstream fixture(window_us);
@@ -49,7 +50,7 @@
   client.Send(Write("one"));
   fixture.site.Grant();
   Peer upstream = fixture.site.upstream(0).Accept();
-  CHECK(upstream.Command().at(0) == "API.WRITE");  // received in full: it may have run
+  CHECK(upstream.Command().at(0) == "API.WRITE");  // received in full, so it may have been executed
   fixture.ReplaceBySlow();
   upstream.Reset();
   fixture.slow.Dialled();
@@ -61,12 +62,12 @@
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   } else {
     CHECK(second.Ended());
-    // Within its window it could have been retried anywhere: rejected, not failed.
+    // The client may retry with the same key, so the request is rejected instead of failed.
     CHECK(client.Line().substr(0, 5) == "-BUSY");
   }
 }
 
-TEST_CASE("a request that waited for a connection carries the time left when it is sent") {
+TEST_CASE("a request that waited for a connection is sent with its remaining time") {
   Site site(0, NoQuota());
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -78,12 +79,13 @@
   const std::string extras = upstream.Command().at(3);
   const std::size_t at = extras.find(",d=");
   REQUIRE(at != std::string::npos);
-  // Connecting takes a second, of the 60 that the client waits.
+  // The connect takes one of the 60 seconds that the client waits.
   CHECK(std::stoi(extras.substr(at + 3)) <= 59'150);
 }
 
 TEST_CASE(
-    "a request that waits for a connection is not sent once its client has disconnected, cancelled or not") {
+    "when a client disconnects while its request waits for a connection, then the request is not sent, "
+    "whether cancelling is enabled or not") {
   const bool can_cancel = GENERATE(true, false);
   Site site(0, {{"settings", {{"Limits", {{"Cancelling", can_cancel}}}}}});
   SlowPort slow;
@@ -93,14 +95,14 @@
   site.Grant();
   slow.Dialled();
   client.Close();
-  Peer other = site.Client();  // answered behind the close
+  Peer other = site.Client();  // its response shows that the close has been processed
   CHECK(Site::Ping(other) == "+PONG\r\n");
   slow.Open();
   other.Send(Read("two"));
   site.Grant();
-  // The first request's connection, where it goes on, comes up as well, and ends with nothing sent.
+  // Without cancelling, the first request's connection is established too, and closes with nothing sent.
   std::string sent;
-  std::vector<Peer> upstreams;  // not closed: a request on a closed one would be retried
+  std::vector<Peer> upstreams;  // kept open, since a request on a closed one would be retried
   while (upstreams.size() < (can_cancel ? 1 : 2)) {
     upstreams.push_back(slow.port().Accept());
     sent += upstreams.back().Some(4096);
@@ -109,7 +111,9 @@
   CHECK(sent.find("two") != std::string::npos);
 }
 
-TEST_CASE("a request that waits for a connection is not sent to an upstream that drains meanwhile") {
+TEST_CASE(
+    "when an upstream drains while a request waits for a connection to it, then another upstream gets the "
+    "request") {
   Site site(0);
   SlowPort slow;
   site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -123,7 +127,7 @@
   CHECK(other.Accept().Command().at(2) == "one");
 }
 
-TEST_CASE("an upstream that has moved or restarted gets nothing over a connection to its former process") {
+TEST_CASE("when an upstream has moved or restarted, then no new request is sent to its former process") {
   const bool has_moved = GENERATE(true, false);
   Site site(1, NoQuota());
   site.Start(1);
@@ -137,18 +141,20 @@
                                 {"address", listed.address()},
                                 {"since_ms", has_moved ? 0 : 1'700'000'000'000},
                                 {"status", "Ready"}}}));
-  site.watch().Until("\r\n\r\n");  // the next call: the list is in force
+  site.watch().Until("\r\n\r\n");  // the next poll shows that the list is applied
   old.Send(kValue);
-  CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");  // what was in flight ends as usual
+  CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");  // the request in flight completes
   client.Send(Read("two"));
   Peer current = (has_moved ? other : site.upstream(0)).Accept();
   CHECK(current.Command().at(2) == "two");
   CHECK(old.Ended());
 }
 
-TEST_CASE("a request that waits for a connection goes to the new address of an upstream that moves") {
+TEST_CASE(
+    "when an upstream moves while a request waits for a connection, then the request is sent to the new "
+    "address") {
   json changes = NoQuota();
-  // Not hedged: what is sent is the request that waited.
+  // The class is never hedged, so the request that arrives is the one that waited.
   changes["settings"]["Classes"] = {
       {{"Name", "change"}, {"Aim", 60'000'000}, {"HardLimit", 60'000'000}, {"Effect", "unsafe"}}};
   Site site(0, changes);
@@ -165,8 +171,10 @@
 }
 
 TEST_CASE(
-    "where upstreams send duplicates, a late duplicate is never taken for the next request's response") {
-  const bool is_together = GENERATE(true, false);  // the first duplicate: with its response, or after it
+    "given upstreams that send duplicates, a late duplicate is never taken for the response to the next "
+    "request") {
+  // Whether the first duplicate arrives together with its response or after it.
+  const bool is_together = GENERATE(true, false);
   Site site(1, NoQuota());
   site.Start(1);
   Peer client = site.Client();
@@ -180,7 +188,7 @@
   client.Send(Read("one"));
   Peer upstream = site.upstream(0).Accept();
   upstream.Command();
-  // The response and the next request are there at once: the request is read as soon as the connection is
+  // The response and the next request arrive together, so the request is read as soon as the connection is
   // idle.
   site.Pause();
   upstream.Send(kValue);
@@ -195,7 +203,7 @@
   CHECK(client.Until("no\r\n") == "$2\r\nno\r\n");
 }
 
-// Two upstreams and a class that is not idempotent.
+// A site with two upstreams and a class that is not idempotent.
 struct NonIdempotentSite {
   explicit NonIdempotentSite(const json& changes = json::object()) : site(2, Merged(changes)) {}
   static json Merged(const json& changes) {
@@ -212,7 +220,9 @@
   Site site;
 };
 
-TEST_CASE("a non-idempotent request that may have run is not retried: half a rejection, or a late reset") {
+TEST_CASE(
+    "a non-idempotent request that may have been executed is not retried after half a rejection or a late "
+    "reset") {
   const bool is_half_rejected = GENERATE(true, false);
   NonIdempotentSite fixture;
   fixture.site.Start(2);
@@ -224,7 +234,7 @@
     upstream.Command();
     upstream.Send("-BUS");
   } else {
-    CHECK(upstream.HasMore(kTimeoutMs));  // all of it is in the kernel's buffer, and read by nobody
+    CHECK(upstream.HasMore(kTimeoutMs));  // the whole request is in the kernel's buffer, unread
   }
   upstream.Reset();
   CHECK(client.Line() == "-ERR failed\r\n");
@@ -232,7 +242,9 @@
   CHECK_FALSE(fixture.site.upstream(1).Asked());
 }
 
-TEST_CASE("a connection that comes up as its connect timeout expires is one attempt, here or elsewhere") {
+TEST_CASE(
+    "when a connection is established as its connect timeout expires, then the request is sent exactly "
+    "once") {
   NonIdempotentSite fixture(json{{"settings", {{"Limits", {{"DialTimeout", 500'000}}}}}});
   SlowPort slow;
   fixture.site.Start(0, {{{"name", "s-slow"}, {"address", slow.address()}, {"status", "Ready"}}});
@@ -243,7 +255,7 @@
   fixture.site.watch().Until("\r\n\r\n");
   fixture.site.Pause();
   slow.Open();
-  Peer late = slow.port().Accept();  // a second later: timeout and success are due together
+  Peer late = slow.port().Accept();  // after a second, when both the timeout and the connect are pending
   fixture.site.Resume();
   if (late.Some(4096).empty()) {
     Peer upstream = fixture.site.upstream(0).Accept();
@@ -256,21 +268,23 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("an endpoint list that ends several attempts of one upstream, and moves another, ends each once") {
+TEST_CASE(
+    "when an endpoint list removes one upstream and moves another, then each attempt at them ends once and "
+    "is retried") {
   Site site(0, NoQuota());
-  SlowPort drains;
-  SlowPort moves;
+  SlowPort removed;
+  SlowPort moved;
   const auto endpoints = [&](const char* status, const std::string& address) {
-    return json{{{"name", "s-drains"}, {"address", drains.address()}, {"status", status}},
+    return json{{{"name", "s-drains"}, {"address", removed.address()}, {"status", status}},
                 {{"name", "s-moves"}, {"address", address}, {"status", "Ready"}}};
   };
-  site.Start(0, endpoints("Ready", moves.address()));
+  site.Start(0, endpoints("Ready", moved.address()));
   Peer client = site.Client();
   std::string requests;
   for (int i = 0; i < 24; ++i) requests += Read("r" + std::to_string(i));
   client.Send(requests);
-  drains.Dialled(2);
-  moves.Dialled(2);
+  removed.Dialled(2);
+  moved.Dialled(2);
   Port other;
   site.Tell(Site::List(false, endpoints("Gone", other.address())));
   std::vector<Peer> upstreams;
@@ -279,8 +293,8 @@
     upstreams.back().Command();
   }
   CHECK_FALSE(other.Asked());
-  drains.Left();
-  moves.Left();
+  removed.Left();
+  moved.Left();
   for (Peer& upstream : upstreams) upstream.Send(kValue);
   for (int i = 0; i < 24; ++i) CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
--- a/tests/partners/client.h
+++ b/tests/partners/client.h
@@ -1,5 +1,5 @@
-// Clients of gateways on libevent: one request at a time on a connection, connections kept and opened
-// anew.
+// Clients of gateways on libevent. Each connection carries one request at a time. Idle connections are
+// reused, lost ones replaced.
 #ifndef POSTSPREAD_TESTS_PARTNERS_CLIENT_H_
 #define POSTSPREAD_TESTS_PARTNERS_CLIENT_H_
 
@@ -14,10 +14,12 @@
 
 namespace postspread::partners {
 
-// One connection; one request at a time.
+// One connection, which carries one request at a time.
 class Client {
  public:
-  using Done = std::function<void(bool came, std::string answer)>;
+  // `is_received` is false if the connection was lost first. `response` begins with '-' for an error, with
+  // '+' otherwise.
+  using Done = std::function<void(bool is_received, std::string response)>;
   Client(event_base* base, int port) {
     const auto address = config::Address::Parse(LoopbackAddress(port));
     event_ = net::Dial(
@@ -28,8 +30,9 @@
         this);
     if (event_) bufferevent_enable(event_.get(), EV_READ | EV_WRITE);
   }
-  [[nodiscard]] bool usable() const { return event_ != nullptr && !broken_; }
-  [[nodiscard]] bool busy() const { return done_ != nullptr; }
+  [[nodiscard]] bool is_usable() const { return event_ != nullptr && !is_broken_; }
+  // Whether a request is in flight.
+  [[nodiscard]] bool is_busy() const { return done_ != nullptr; }
   void Ask(const std::string& message, Done done) {
     done_ = std::move(done);
     bufferevent_write(event_.get(), message.data(), message.size());
@@ -45,29 +48,29 @@
     net::Consume(event_.get(), reply.size);
     End(true, std::move(text));
   }
-  void End(bool came, std::string answer) {
-    broken_ = broken_ || !came;
-    if (const Done done = std::exchange(done_, nullptr)) done(came, std::move(answer));
+  void End(bool is_received, std::string response) {
+    is_broken_ = is_broken_ || !is_received;
+    if (const Done done = std::exchange(done_, nullptr)) done(is_received, std::move(response));
   }
   net::BufferEvent event_;
   Done done_;
-  bool broken_ = false;
+  bool is_broken_ = false;
 };
 
-// Connections to several gateways, by rank.
+// Connection pools to several gateways, by rank.
 class Clients {
  public:
-  // `port`: where the gateway of a rank listens.
+  // `port` returns the port on which the gateway of a rank listens.
   Clients(event_base* base, int gateways, std::function<int(int rank)> port)
       : base_(base), port_(std::move(port)), pools_(static_cast<std::size_t>(gateways)) {}
   void Ask(int rank, const std::string& message, Client::Done done) {
     auto& pool = pools_[static_cast<std::size_t>(rank)];
-    std::erase_if(pool, [](const auto& c) { return !c->usable() && !c->busy(); });
+    std::erase_if(pool, [](const auto& c) { return !c->is_usable() && !c->is_busy(); });
     for (const auto& client : pool) {
-      if (!client->busy() && client->usable()) return client->Ask(message, std::move(done));
+      if (!client->is_busy() && client->is_usable()) return client->Ask(message, std::move(done));
     }
     pool.push_back(std::make_unique<Client>(base_, port_(rank)));
-    if (!pool.back()->usable()) return done(false, "");
+    if (!pool.back()->is_usable()) return done(false, "");
     pool.back()->Ask(message, std::move(done));
   }
 
--- a/tests/partners/process.h
+++ b/tests/partners/process.h
@@ -1,4 +1,4 @@
-// A gateway as a process: started, killed, stopped and continued, and ended by SIGTERM.
+// A gateway as a child process, which tests start, signal, kill and wait for.
 #ifndef POSTSPREAD_TESTS_PARTNERS_PROCESS_H_
 #define POSTSPREAD_TESTS_PARTNERS_PROCESS_H_
 
@@ -20,29 +20,29 @@
  public:
   struct Plan {
     std::string program;
-    std::vector<std::string> arguments, variables;  // variables beside the own ones
-    std::string log;                                // standard error goes to its end
-    int inherited = -1;                             // becomes descriptor 7
+    std::vector<std::string> arguments, variables;  // `variables` extend the inherited environment
+    std::string log;                                // file to which standard error is appended
+    int inherited = -1;                             // the descriptor that the child gets as 7; -1 for none
   };
-  explicit Process(Plan plan) {
+  explicit Process(Plan options) {
     std::vector<char*> environment;
-    for (std::string& variable : plan.variables) environment.push_back(variable.data());
+    for (std::string& variable : options.variables) environment.push_back(variable.data());
     for (char** e = environ; *e != nullptr; ++e) environment.push_back(*e);
     environment.push_back(nullptr);
-    std::vector<char*> arguments{plan.program.data()};
-    for (std::string& word : plan.arguments) arguments.push_back(word.data());
+    std::vector<char*> arguments{options.program.data()};
+    for (std::string& argument : options.arguments) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    // Not our own output: whoever reads that waits until nobody holds it any more.
+    // The child must not inherit standard output: a reader of it would wait until the child has ended too.
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, "/dev/null", O_WRONLY, 0600);
-    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, plan.log.c_str(), O_WRONLY | O_CREAT | O_APPEND,
-                                     0600);
-    if (plan.inherited >= 0) posix_spawn_file_actions_adddup2(&actions, plan.inherited, 7);
+    posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, options.log.c_str(),
+                                     O_WRONLY | O_CREAT | O_APPEND, 0600);
+    if (options.inherited >= 0) posix_spawn_file_actions_adddup2(&actions, options.inherited, 7);
     const int failed =
-        posix_spawn(&pid_, plan.program.c_str(), &actions, nullptr, arguments.data(), environment.data());
+        posix_spawn(&pid_, options.program.c_str(), &actions, nullptr, arguments.data(), environment.data());
     posix_spawn_file_actions_destroy(&actions);
-    if (failed != 0) throw std::runtime_error("can't start " + plan.program + ": build first");
+    if (failed != 0) throw std::runtime_error("can't start " + options.program + ": build first");
   }
   ~Process() { Kill(); }
   Process(const Process&) = delete;
@@ -59,7 +59,8 @@
   void Signal(int number) const {
     if (pid_ > 0) kill(pid_, number);
   }
-  // Whether it has ended by itself; then `code` is its exit code, or -1 where a signal ended it.
+  // Returns whether the process has ended by itself, and sets `code` to its exit code, or to -1 if a signal
+  // ended it.
   bool Ended(int& code) {
     int status = 0;
     if (pid_ <= 0 || waitpid(pid_, &status, WNOHANG) != pid_) return false;
@@ -67,7 +68,8 @@
     code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return true;
   }
-  int Wait() {  // for its end; the exit code
+  // Waits for the process to end. Returns its exit code, -1 if a signal ended it, or 0 if none runs.
+  int Wait() {
     int status = -1;
     if (pid_ <= 0) return 0;
     waitpid(std::exchange(pid_, -1), &status, 0);
--- a/tests/partners/server.h
+++ b/tests/partners/server.h
@@ -1,4 +1,4 @@
-// A listener on loopback and its connections, on libevent: what every scripted partner here stands on.
+// A listener on loopback with its connections, on libevent. All stand-ins of partners are based on it.
 #ifndef POSTSPREAD_TESTS_PARTNERS_SERVER_H_
 #define POSTSPREAD_TESTS_PARTNERS_SERVER_H_
 
@@ -30,54 +30,54 @@
 }
 inline std::string LoopbackAddress(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Ports that no other process of these tests and benches is given while this one runs: what it starts and
-// ends and starts again would else find its port taken by theirs. A block is held by a name in the abstract
-// namespace of unix sockets, which the system releases with the process. Under the range that the system
-// gives to whoever asks for any.
+// Allocates ports that no other process of these tests and benches uses while this one runs. Otherwise a
+// gateway or stand-in that is killed and restarted could find its port taken. A process reserves a block of
+// ports by binding a name in the abstract namespace of Unix sockets, which the system releases when the
+// process ends. All blocks lie below the system's ephemeral port range.
 class PortBlocks {
  public:
   int Next() {
-    if (left_ == 0) Hold();
-    --left_;
-    return next_++;
+    if (ports_left_ == 0) Reserve();
+    --ports_left_;
+    return next_port_++;
   }
 
  private:
-  static constexpr int kFirst = 12'000, kBlock = 400, kBlocks = 50;
+  static constexpr int kFirst = 12'000, kPortsPerBlock = 400, kBlockCount = 50;
 
-  void Hold() {
-    for (; block_ < kBlocks; ++block_) {
-      if (!Bind("postspread-test-ports-" + std::to_string(block_))) continue;
-      next_ = kFirst + block_++ * kBlock;
-      left_ = kBlock;
+  void Reserve() {
+    for (; block_ < kBlockCount; ++block_) {
+      if (!BindName("postspread-test-ports-" + std::to_string(block_))) continue;
+      next_port_ = kFirst + block_++ * kPortsPerBlock;
+      ports_left_ = kPortsPerBlock;
       return;
     }
-    throw std::runtime_error("no block of ports is left");
+    throw std::runtime_error("no port block is left");
   }
-  static bool Bind(const std::string& name) {
+  static bool BindName(const std::string& name) {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     name.copy(address.sun_path + 1, sizeof address.sun_path - 1);
     const auto size = static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + 1 + name.size());
-    const int fd = socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0);  // held until the process ends
+    const int fd = socket(AF_UNIX, SOCK_DGRAM | SOCK_CLOEXEC, 0);  // open until the process ends
     if (bind(fd, reinterpret_cast<const sockaddr*>(&address), size) == 0) return true;
     close(fd);
     return false;
   }
 
-  int block_ = 0, next_ = 0, left_ = 0;
+  int block_ = 0, next_port_ = 0, ports_left_ = 0;
 };
 
-// A port that is free at this moment, and given to no other process of these tests.
+// Returns a port that is free now and that no other process of these tests gets.
 inline int FreePort(int type = SOCK_STREAM) {
   static PortBlocks ports;
   for (;;) {
     const int port = ports.Next();
     const int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
     const sockaddr_in address = Loopback(port);
-    const bool free = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+    const bool is_free = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
     close(fd);
-    if (free) return port;
+    if (is_free) return port;
   }
 }
 
@@ -105,19 +105,20 @@
   [[nodiscard]] int port() const { return port_; }
   [[nodiscard]] std::string address() const { return LoopbackAddress(port_); }
 
-  // Dies as a process does: every connection is reset, new ones are refused.
+  // Simulates a crash: resets every connection and refuses new ones.
   void Kill() {
     listener_.reset();
     for (const auto& connection : connections_) {
-      const linger hard{1, 0};
-      setsockopt(bufferevent_getfd(connection->event_.get()), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+      const linger reset_on_close{1, 0};
+      setsockopt(bufferevent_getfd(connection->event_.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                 sizeof reset_on_close);
     }
     connections_.clear();
   }
   void Restart() { Listen(port_); }
   [[nodiscard]] bool alive() const { return listener_ != nullptr; }
 
-  // The connection of this number, if it still stands.
+  // Returns the connection of this number, or null if it is closed.
   Connection* Find(std::uint64_t number) {
     for (const auto& connection : connections_) {
       if (connection->number_ == number) return connection.get();
@@ -146,7 +147,7 @@
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     auto connection = std::make_unique<Connection>();
     connection->server_ = this;
-    connection->number_ = next_++;
+    connection->number_ = next_number_++;
     connection->event_.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(
         connection->event_.get(),
@@ -173,23 +174,23 @@
   OnData on_data_;
   net::Listener listener_;
   int port_ = 0;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_number_ = 1;
   std::list<std::unique_ptr<Connection>> connections_;
 };
 
-// Calls back once, and forgets itself.
-inline void After(event_base* base, std::chrono::microseconds span, std::function<void()> run) {
-  auto* held = new std::function<void()>(std::move(run));
+// Calls `run` once, after `delay`.
+inline void After(event_base* base, std::chrono::microseconds delay, std::function<void()> run) {
+  auto* callback = new std::function<void()>(std::move(run));
   timeval tv{};
-  tv.tv_sec = static_cast<time_t>(span.count() / 1'000'000);
-  tv.tv_usec = static_cast<suseconds_t>(span.count() % 1'000'000);
+  tv.tv_sec = static_cast<time_t>(delay.count() / 1'000'000);
+  tv.tv_usec = static_cast<suseconds_t>(delay.count() % 1'000'000);
   event_base_once(
       base, -1, EV_TIMEOUT,
       [](evutil_socket_t, short, void* self) {
         const std::unique_ptr<std::function<void()>> f(static_cast<std::function<void()>*>(self));
         (*f)();
       },
-      held, &tv);
+      callback, &tv);
 }
 
 }  // namespace postspread::partners
--- a/tests/partners/site.h
+++ b/tests/partners/site.h
@@ -1,5 +1,5 @@
-// The real program as a process, among small scripted partners: each test plays discovery, the counter, the
-// upstreams and a client by hand, and waits for events, never for time to pass.
+// Runs the gateway program as a process among scripted partners. Each test plays discovery, the counter, the
+// upstreams and a client step by step, and synchronizes on events instead of delays.
 #ifndef POSTSPREAD_TESTS_PARTNERS_SITE_H_
 #define POSTSPREAD_TESTS_PARTNERS_SITE_H_
 
@@ -30,8 +30,7 @@
 
 using nlohmann::json;
 
-constexpr int kTimeoutMs =
-    20'000;  // after which a wait counts as failed; nothing waits so long when all is well
+constexpr int kTimeoutMs = 20'000;  // a test fails if an event takes longer
 
 inline bool Readable(int fd, int wait_ms = kTimeoutMs) {
   pollfd p{fd, POLLIN, 0};
@@ -56,7 +55,7 @@
   int fd_;
 };
 
-// One end of a connection.
+// The test's end of a connection. Reads fail after kTimeoutMs.
 class Peer {
  public:
   explicit Peer(int fd) : socket_(fd) {}
@@ -64,7 +63,7 @@
     REQUIRE(send(socket_.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
   }
-  // Reads until `end` has come, and returns all up to and with it.
+  // Reads until `end` has arrived, and returns all bytes up to and including it.
   std::string Until(const std::string& end) {
     while (buffer_.find(end) == std::string::npos) {
       if (!Fill()) FAIL("the connection ended or stalled after: " + buffer_);
@@ -75,7 +74,7 @@
     return out;
   }
   std::string Line() { return Until("\r\n"); }
-  // A whole command of bulk strings.
+  // Reads a complete command of bulk strings, and returns its parts.
   std::vector<std::string> Command() {
     resp::Command command;
     while (resp::ParseCommand(buffer_, command) == resp::Progress::kPartial) {
@@ -86,33 +85,35 @@
     buffer_.erase(0, command.size);
     return out;
   }
-  // All of `size` bytes.
+  // Reads `size` bytes, or fewer if the connection ends or stalls first.
   std::string Bytes(std::size_t size) {
     std::string out;
     for (std::string part; out.size() < size && !(part = Some(size - out.size())).empty();) out += part;
     return out;
   }
-  // As many bytes as are there now, `most` at the most; empty: the connection ended or stalled.
-  std::string Some(std::size_t most) {
+  // Waits for bytes and returns those that have arrived, up to `max_size`. Returns nothing if the connection
+  // ended or stalled.
+  std::string Some(std::size_t max_size) {
     if (buffer_.empty() && !Fill()) return {};
-    std::string out = buffer_.substr(0, most);
+    std::string out = buffer_.substr(0, max_size);
     buffer_.erase(0, out.size());
     return out;
   }
-  // Sends what the socket takes at this moment; returns how much that was.
+  // Sends as many bytes as the socket takes without blocking. Returns their number.
   std::size_t SendSome(std::string_view bytes) {
     const ssize_t sent = send(socket_.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
-  void Reset() {  // closes as a process that dies does
-    const linger hard{1, 0};
-    setsockopt(socket_.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  // Closes with a reset, as the system does for a process that crashes.
+  void Reset() {
+    const linger reset_on_close{1, 0};
+    setsockopt(socket_.fd(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     socket_.Close();
   }
   void HalfClose() { shutdown(socket_.fd(), SHUT_WR); }
-  // True once the other end has closed with nothing left unread.
+  // Waits for the other end to close. Returns false if bytes arrive first or are unread.
   bool Ended() { return !Fill() && buffer_.empty(); }
-  // True where something is there to be read at this moment, or within so many ms.
+  // Returns whether bytes or a close can be read now, or within `wait_ms`.
   bool HasMore(int wait_ms = 0) { return !buffer_.empty() || Readable(socket_.fd(), wait_ms); }
   void Close() { socket_.Close(); }
 
@@ -147,9 +148,10 @@
     number_ = ntohs(address.sin_port);
   }
   Peer Accept() {
-    if (!Readable(socket_.fd())) FAIL("nobody connected");
+    if (!Readable(socket_.fd())) FAIL("no connection arrived");
     return Peer(accept4(socket_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
   }
+  // Returns whether a connection waits to be accepted.
   [[nodiscard]] bool Asked() const { return Readable(socket_.fd(), 0); }
   void Close() { socket_.Close(); }
   [[nodiscard]] int fd() const { return socket_.fd(); }
@@ -174,16 +176,18 @@
   return out;
 }
 
-// A request as a client sends it, and an answer as an upstream gives it.
+// A request as a client sends it.
 inline std::string Read(std::string_view id) {
   return Command({"API.READ", "0000000000000001", id, "c=lookup,t=team,d=60000,units=1,spread=2,first=0"});
 }
-// Settings under which a request is cleared without a word of the counter.
+// Settings under which a request is admitted without a call to the counter.
 inline json NoQuota() {
   return {{"settings", {{"Contracts", {{{"Name", "team"}, {"PerSecond", 0}, {"Depth", 0}}}}}}};
 }
+// A successful reply of an upstream.
 inline const char* const kValue = "*3\r\n$2\r\nhi\r\n$-1\r\n$9\r\nutil=0.25\r\n";
 
+// Returns the number of a port that is free now.
 inline int FreeNumber() {
   Port free;
   const int number = free.number();
@@ -191,12 +195,14 @@
   return number;
 }
 
-// The program with its partners. Time limits of the settings are far off, so that none runs out by chance.
+// The gateway process with its partners. The time limits in the settings are long, so that none expires by
+// chance.
 class Site {
  public:
-  // `ops` in `changes`, whatever it is: operators call at ops(). `operators`: the text of an operator file to
-  // start with; null: none. `inherited`: the clients' listening
-  // socket, which the process gets as descriptor 7.
+  // `changes` are merged into the configuration; if they hold `ops`, whatever its value, the admin server
+  // listens on port ops(). `with_variables` passes discovery's address as an environment variable too.
+  // `operators` is the text of the operator file, or null for none. `inherited` is the listening socket for
+  // clients, which the process gets as descriptor 7, or null for none.
   explicit Site(int upstreams, const json& changes = json::object(), bool with_variables = false,
                 const char* operators = nullptr, Port* inherited = nullptr)
       : upstreams_(static_cast<std::size_t>(upstreams)), inherited_(inherited) {
@@ -228,7 +234,7 @@
     if (with_variables) variables.push_back("ROUTER_DISCOVERY=" + discovery_.address());
     pid_ = Spawn(variables);
   }
-  // Another process beside the one that runs, with these variables beside the usual ones.
+  // Starts a further process with these environment variables beside the usual ones.
   pid_t Spawn(std::vector<std::string> variables) {
     variables.push_back("ROUTER_CONFIG=" + path_);
     if (inherited_ != nullptr) variables.push_back("ROUTER_FD=7");
@@ -260,7 +266,8 @@
   }
   Site(const Site&) = delete;
 
-  // Plays the start up to the point where it serves; the first `count` upstreams are listed, and `others`.
+  // Plays the startup until the gateway serves. The endpoint list holds the first `count` upstreams and
+  // `others`.
   void Start(int count, const json& others = json::array()) {
     watch_.emplace_back(discovery_.Accept());
     CHECK(watch().Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
@@ -268,17 +275,17 @@
     listed.insert(listed.end(), others.begin(), others.end());
     Tell(List(true, std::move(listed)));
     CHECK(watch().Until("\r\n\r\n").find("GET /api/targets?since=41&timeout_ms=") == 0);
-    calls_.emplace_back(counter_.Accept());
+    counter_connections_.emplace_back(counter_.Accept());
     WaitUntilReady();
   }
   void WaitUntilReady() {
-    Peer front = Client();
+    Peer client = Client();
     for (int waited = 0; waited < kTimeoutMs; waited += 5) {
-      front.Send(Command({"PING"}));
-      if (front.Line() == "+PONG\r\n") return;
+      client.Send(Command({"PING"}));
+      if (client.Line() == "+PONG\r\n") return;
       usleep(5'000);
     }
-    FAIL("the program does not get ready");
+    FAIL("the gateway does not get ready");
   }
 
   json Entries(int first, int count, const char* status) {
@@ -292,12 +299,13 @@
   static json List(bool full, json entries) {
     return {{"index", 41}, {"snapshot", full}, {"endpoints", std::move(entries)}};
   }
+  // Sends `list` as discovery's response to the open poll.
   void Tell(const json& list) { Tell(watch(), list); }
   static void Tell(Peer& watch, const json& list) {
     const std::string body = list.dump();
     watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
-  // A request that an upstream has and its client waits for.
+  // A request in flight: an upstream has received it, and its client waits for the response.
   struct Held {
     Peer client, upstream;
     void Serve() {
@@ -305,6 +313,7 @@
       CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
     }
   };
+  // Starts a request that the first upstream receives.
   Held Hold(std::string_view id) {
     Peer client = Client();
     client.Send(Read(id));
@@ -313,7 +322,7 @@
     CHECK(upstream.Command().at(2) == id);
     return {std::move(client), std::move(upstream)};
   }
-  // What PING is answered with on a connection that is new, or on this one.
+  // Sends PING on a new connection or on this one, and returns the response.
   std::string Ping() {
     Peer client = Client();
     return Ping(client);
@@ -322,39 +331,40 @@
     client.Send(Command({"PING"}));
     return client.Line();
   }
-  // One call at the admin server; the whole response.
+  // Sends one call to the admin server, and returns its complete response.
   [[nodiscard]] std::string Call(const std::string& line) const { return Call(ops_, line); }
   static std::string Call(int port, const std::string& line) {
     Peer peer = Connect(port);
     peer.Send(line + " HTTP/1.1\r\nHost: gatekeeper\r\n\r\n");
     return peer.Bytes(1 << 20);
   }
-  // A figure's value, as the door tells it.
+  // Returns the value of a metric from the admin server.
   [[nodiscard]] double Metric(const std::string& name) const {
     const std::string text = Call("GET /v1/metrics");
     const std::size_t at = text.find("\n" + name + " ");
-    if (at == std::string::npos) FAIL("no figure " + name + " in " + text);
+    if (at == std::string::npos) FAIL("no metric " + name + " in " + text);
     return std::stod(text.substr(at + name.size() + 2));
   }
   [[nodiscard]] int ops() const { return ops_; }
-  // Plays the counter for one call; a total that lacked what was added before would be put right by another.
-  // Returns the amount that was added.
+  // Plays the counter for one call, and returns the amount that the call adds. The total covers all earlier
+  // amounts, since the gateway would correct a lower total by a further call.
   double Grant() {
     const auto call = calls().Command();
     REQUIRE(call.size() == 4);
     CHECK(call[0] == "CNT.ADD");
     total_ += std::stod(call[2]);
-    std::string answer;
-    resp::AppendBulk(std::to_string(total_), answer);
-    calls().Send(answer);
+    std::string reply;
+    resp::AppendBulk(std::to_string(total_), reply);
+    calls().Send(reply);
     return std::stod(call[2]);
   }
-  int Wait() {  // for the program to end; its exit code
+  // Waits for the process to end. Returns its exit code, or -1 if a signal ended it.
+  int Wait() {
     int status = -1;
     REQUIRE(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // The most memory that the program has held so far, in bytes.
+  // Returns the peak resident memory of the process, in bytes.
   [[nodiscard]] std::size_t PeakMemory() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     std::string line;
@@ -364,25 +374,25 @@
     return 0;
   }
   void Terminate() { kill(pid_, SIGTERM); }
-  // Holds the process to `count` descriptors, as the platform does.
+  // Limits the process to `count` descriptors, as the platform does.
   void LimitDescriptors(rlim_t count) const {
     const rlimit limit{count, count};
     REQUIRE(prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
   }
-  // From now on `pid` is the process that is meant; returns the one before.
+  // Makes `pid` the process that the other functions act on. Returns the one before.
   pid_t Turn(pid_t pid) { return std::exchange(pid_, pid); }
   void Pause() { kill(pid_, SIGSTOP); }
   void Resume() { kill(pid_, SIGCONT); }
-  // Replaces the operator file; a reload reads it too.
+  // Replaces the operator file, which the next reload reads too.
   void WriteOperators(const char* text) const { std::ofstream(path_ + ".conf") << text; }
-  // Replaces the file and sends SIGHUP.
+  // Replaces the configuration file and sends SIGHUP.
   void Reload(const json& changes) {
     json config = config_;
     config.merge_patch(changes);
     std::ofstream(path_) << config.dump();
     kill(pid_, SIGHUP);
   }
-  // Waits until the log holds `line`.
+  // Waits until the log contains `line`.
   void Logged(const std::string& line) const {
     for (int waited = 0; waited < kTimeoutMs; waited += 10) {
       std::ostringstream text;
@@ -393,8 +403,8 @@
     FAIL("no such line in the log: " + line);
   }
   [[nodiscard]] std::string log() const { return path_ + ".log"; }
+  // Connects a client. Retries while the gateway is still starting and does not listen yet.
   Peer Client() {
-    // The program listens as soon as it can: until then the port is refused.
     for (int i = 0; i < 2000; ++i) {
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
       const sockaddr_in address = Loopback(port_);
@@ -402,20 +412,22 @@
       close(fd);
       usleep(10'000);
     }
-    FAIL("the program does not listen");
+    FAIL("the gateway does not listen");
     return Peer(-1);
   }
+  // Returns whether the gateway refuses new client connections.
   [[nodiscard]] bool Refuses() const {
     const Socket probe(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const sockaddr_in address = Loopback(port_);
     return connect(probe.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0;
   }
+  // The current connections of the gateway to discovery and to the counter.
   Peer& watch() { return watch_.back(); }
-  Peer& calls() { return calls_.back(); }
+  Peer& calls() { return counter_connections_.back(); }
   Port& counter() { return counter_; }
   Port& discovery() { return discovery_; }
   Port& upstream(int i) { return upstreams_[static_cast<std::size_t>(i)]; }
-  // Which of two upstreams was dialled.
+  // Waits for a connection to one of two upstreams, and returns which.
   int Dialled() {
     pollfd p[] = {{upstream(0).fd(), POLLIN, 0}, {upstream(1).fd(), POLLIN, 0}};
     REQUIRE(poll(p, 2, kTimeoutMs) >= 1);
@@ -425,7 +437,7 @@
  private:
   Port discovery_, counter_;
   std::vector<Port> upstreams_;
-  std::vector<Peer> watch_, calls_;
+  std::vector<Peer> watch_, counter_connections_;
   json config_;
   double total_ = 0;
   Port* inherited_ = nullptr;
--- a/tests/partners/slow_port.h
+++ b/tests/partners/slow_port.h
@@ -1,5 +1,5 @@
-// A listening socket that lets connections come up late: its queue is full until it is opened, and the
-// machine's own repeat of the first packet, a second later, is the one that gets through.
+// A listening socket that delays connections. Its accept queue is full, so the kernel drops the first SYN of
+// a connect. After Open, the SYN that the kernel retransmits one second later succeeds.
 #ifndef POSTSPREAD_TESTS_PARTNERS_SLOW_PORT_H_
 #define POSTSPREAD_TESTS_PARTNERS_SLOW_PORT_H_
 
@@ -14,23 +14,26 @@
   SlowPort() : filler_(Connect(port_.number())) {}
   [[nodiscard]] std::string address() const { return port_.address(); }
   Port& port() { return port_; }
-  // Waits until so many dial; their first packets are dropped by then or are about to be.
+  // Waits until at least `count` connects are pending. Their first SYNs have been dropped or are about to be.
   void Dialled(int count = 1) const {
-    Await([count](int dials) { return dials >= count; }, "not so many dial: " + std::to_string(count));
+    Await([count](int dials) { return dials >= count; },
+          "fewer pending connects than " + std::to_string(count));
   }
-  // Waits until nobody dials any more.
+  // Waits until no connect is pending.
   void Left() const {
-    Await([](int dials) { return dials == 0; }, "somebody goes on dialling");
+    Await([](int dials) { return dials == 0; }, "a connect is still pending");
   }
-  // From now on what dials gets through.
+  // From now on, pending and new connects succeed.
   void Open() {
     port_.Accept();
     filler_.Close();
   }
 
  private:
-  template <typename Is>
-  void Await(Is is, const std::string& otherwise) const {
+  // Waits until `is_met` accepts the number of pending connects.
+  template <typename Condition>
+  void Await(Condition is_met, const std::string& failure) const {
+    // The port as a remote address, in the state SYN_SENT.
     char address[32];
     std::snprintf(address, sizeof address, " 0100007F:%04X 02 ", static_cast<unsigned>(port_.number()));
     for (int waited = 0; waited < kTimeoutMs; waited += 5) {
@@ -39,10 +42,10 @@
       const std::string text = table.str();
       int dials = 0;
       for (std::size_t at = 0; (at = text.find(address, at)) != std::string::npos; ++at) ++dials;
-      if (is(dials)) return;
+      if (is_met(dials)) return;
       usleep(5'000);
     }
-    FAIL(otherwise);
+    FAIL(failure);
   }
   Port port_{0};
   Peer filler_;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,5 +1,5 @@
-// The real program as a process, among small scripted partners: each test plays discovery, the counter, the
-// upstreams and a client by hand, and waits for events, never for time to pass.
+// Tests of the gateway program as a process among scripted partners. Each test plays discovery, the counter,
+// the upstreams and a client step by step, and synchronizes on events instead of delays.
 #include "partners/site.h"
 
 namespace postspread {
@@ -7,7 +7,9 @@
 
 using namespace site;
 
-TEST_CASE("a request is granted, passed on as received but for d, and answered with the value alone") {
+TEST_CASE(
+    "an admitted request is forwarded unchanged except for its remaining time d, and the client gets the "
+    "value alone") {
   Site site(1, {{"settings", {{"Limits", {{"MostTries", 1}}}}}});
   site.Start(1);
   Peer client = site.Client();
@@ -27,28 +29,28 @@
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 
-  SECTION("the connection to the next hop is used again") {
+  SECTION("the connection to the upstream is reused") {
     client.Send(Read("two"));
     site.Grant();
     CHECK(upstream.Command().at(2) == "two");
-    upstream.Send("-BUSY\r\n");  // never ran, and there is no other: refused
+    upstream.Send("-BUSY\r\n");  // not executed, and there is no other upstream: the request is rejected
     CHECK(client.Line() == "-BUSY\r\n");
     CHECK_FALSE(site.upstream(0).Asked());
   }
-  SECTION("a sender that goes away takes its attempt along") {
+  SECTION("when the client disconnects, then its attempt is cancelled") {
     client.Send(Read("two"));
     site.Grant();
     upstream.Command();
     client.Close();
     CHECK(upstream.Ended());
   }
-  SECTION("SIGTERM: what was taken is answered, then it ends with 0") {
+  SECTION("after SIGTERM the request in flight is answered, then the process exits with 0") {
     client.Send(Read("two"));
     site.Grant();
     upstream.Command();
     site.Terminate();
-    while (!site.Refuses()) usleep(10'000);  // serves on for a while, then listens no more
-    client.Send(Read("three"));              // not read any more: left to be sent again elsewhere
+    while (!site.Refuses()) usleep(10'000);  // serves for a while, then closes its listener
+    client.Send(Read("three"));              // stays unread, and its client can retry at another gateway
     upstream.Send(kValue);
     CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
     CHECK(client.Ended());
@@ -57,7 +59,9 @@
   }
 }
 
-TEST_CASE("true units that an answer tells are settled with the customer's next ask, once") {
+TEST_CASE(
+    "when a response reports the actual units, then the difference is settled once, in the next call to the "
+    "counter") {
   const bool settles = GENERATE(true, false);
   Site site(1, {{"ops", ""},
                 {"settings",
@@ -66,28 +70,31 @@
   site.Start(1);
   Peer client = site.Client();
   std::optional<Peer> upstream;
-  // The amount that the next request is counted with, which the hop then answers with `figures`.
-  const auto ask = [&](std::string_view id, const std::string& answer) {
+  // Sends a request whose upstream replies with `reply`. Returns the amount that the gateway adds at the
+  // counter.
+  const auto send_request = [&](std::string_view id, const std::string& reply) {
     client.Send(Read(id));
     const double amount = site.Grant();
     if (!upstream) upstream.emplace(site.upstream(0).Accept());
     upstream->Command();
-    upstream->Send(answer);
+    upstream->Send(reply);
     client.Line();
-    if (answer[0] == '*') client.Line();
+    if (reply[0] == '*') client.Line();
     return amount;
   };
   const std::string value = "*3\r\n$2\r\nhi\r\n", none = "$-1\r\n";
-  CHECK(ask("one", value + "$6\r\ncost=4\r\n" + none) == 1);
-  CHECK(ask("two", value + "$6\r\ncost=x\r\n" + none) == (settles ? 4 : 1));  // and 3 more of the first
-  CHECK(ask("three", value + "$7\r\ncost=99\r\n" + none) == 1);
-  CHECK(ask("four", "-ERR failed used=120,cost=y util=0.5\r\n") == 1);
+  CHECK(send_request("one", value + "$6\r\ncost=4\r\n" + none) == 1);
+  // The amount includes 3 more units for the first request.
+  CHECK(send_request("two", value + "$6\r\ncost=x\r\n" + none) == (settles ? 4 : 1));
+  CHECK(send_request("three", value + "$7\r\ncost=99\r\n" + none) == 1);
+  CHECK(send_request("four", "-ERR failed used=120,cost=y util=0.5\r\n") == 1);
   CHECK(site.Metric("svc_odd_use") == 2);
   CHECK(site.Metric("svc_over_quota_answers") == (settles ? 1 : 0));
 }
 
 TEST_CASE(
-    "where the settings allow no datagrams and no probes, nodes get requests alone and no port is bound") {
+    "when the settings allow no datagrams and no probes, then upstreams receive requests only and no port is "
+    "bound") {
   int number = 0;
   const auto bind_peer = [&number] {
     Socket out(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -98,18 +105,18 @@
     number = ntohs(address.sin_port);
     return out;
   };
-  bind_peer();  // a port that is free
+  bind_peer();  // selects a free port
   const std::string peer = "127.0.0.1:" + std::to_string(number);
-  const bool may = GENERATE(false, true);  // the other way round it is bound: the look can tell
+  const bool may_send = GENERATE(false, true);  // true shows that the check detects a bound port
   Site site(1,
             {{"peer_listen", peer},
              {"peers", {peer, "127.0.0.1:9"}},
-             {"settings", {{"Limits", {{"MayTell", may}}}, {"Domain", {{"MailPerS", 40}}}}}},
+             {"settings", {{"Limits", {{"MayTell", may_send}}}, {"Domain", {{"MailPerS", 40}}}}}},
             false, "demand { tell = true }");
   site.Start(1);
   site.Hold("one").Serve();
   CHECK_FALSE(site.upstream(0).Asked());
-  if (may) {
+  if (may_send) {
     Socket other(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     const sockaddr_in address = Loopback(number);
     CHECK(bind(other.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0);
@@ -118,7 +125,7 @@
   }
 }
 
-TEST_CASE("answers keep the order of their commands, whichever comes first") {
+TEST_CASE("responses keep the order of their commands, whichever reply arrives first") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -130,10 +137,10 @@
   Peer first = site.upstream(0).Accept();
   Peer second = site.upstream(0).Accept();
   const bool swapped = first.Command().at(2) == "two";
-  second.Command();  // what comes before it was sent is no answer to it
+  second.Command();  // a reply that arrives before its request was sent would be discarded
   if (swapped) std::swap(first, second);
   second.Send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
-  Peer other = site.Client();  // the second answer has come once the program answers this
+  Peer other = site.Client();  // its response shows that the second reply has been processed
   other.Send(Command({"PING"}));
   other.Line();
   CHECK_FALSE(client.HasMore());
@@ -141,7 +148,7 @@
   CHECK(client.Until("+PONG\r\n") == "$2\r\nhi\r\n$2\r\nno\r\n+PONG\r\n");
 }
 
-TEST_CASE("what is malformed is answered with an error and never passed on") {
+TEST_CASE("a malformed command is answered with an error and never forwarded") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -161,7 +168,7 @@
   CHECK_FALSE(site.upstream(0).Asked());
 }
 
-TEST_CASE("a next hop that refuses never ran: the request goes to the other") {
+TEST_CASE("when an upstream refuses connections, then its requests are forwarded to the other upstream") {
   Site site(2);
   site.Start(2);
   Peer client = site.Client();
@@ -170,12 +177,12 @@
   const int picked = site.Dialled();
   Peer upstream = site.upstream(picked).Accept();
   upstream.Command();
-  site.upstream(picked).Close();  // nothing listens there any more
+  site.upstream(picked).Close();  // further connects are refused
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   upstream.Close();
   std::optional<Peer> other;
-  for (int i = 0; i < 4; ++i) {  // whichever is chosen, the other serves
+  for (int i = 0; i < 4; ++i) {  // whichever upstream is selected, the other one serves
     client.Send(Read("more"));
     site.Grant();
     if (!other) other.emplace(site.upstream(1 - picked).Accept());
@@ -185,8 +192,10 @@
   }
 }
 
-TEST_CASE("a next hop that is said to drain gets nothing that has not been written to it") {
-  // A full backlog: connections to it never come up, as to a machine that vanished.
+TEST_CASE(
+    "when an upstream drains, then a request that has not been written to it is forwarded to another "
+    "upstream") {
+  // The backlog is full, so connections are never established, as with a machine that vanished.
   Port full(0);
   Site site(1, {{"known",
                  Site::List(true, {{{"name", "s-9"}, {"address", full.address()}, {"status", "Ready"}}})}});
@@ -196,7 +205,7 @@
   watch.Until("\r\n\r\n");
   Peer calls = site.counter().Accept();
   Peer client = site.Client();
-  client.Send(Read("one"));  // goes by the remembered list
+  client.Send(Read("one"));  // routed by the cached endpoint list
   calls.Command();
   calls.Send("$1\r\n1\r\n");
   client.Send(Command({"PING"}));
@@ -210,35 +219,39 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("a counter that says nothing delays a request, and its late answers find their calls") {
+TEST_CASE(
+    "when the counter does not reply, then requests are admitted after its timeout and late replies match "
+    "their calls") {
   Site site(1, {{"settings", {{"Domain", {{"CountLimit", 30'000}}}}}});
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("one"));
-  site.calls().Command();  // no answer: let in by the local slice
+  site.calls().Command();  // no reply: the request is admitted by the local slice
   Peer upstream = site.upstream(0).Accept();
   CHECK(upstream.Command().at(2) == "one");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  site.calls().Send("$1\r\n1\r\n");  // a late total is a total: the connection stays
+  site.calls().Send("$1\r\n1\r\n");  // a late total is valid, so the connection stays open
   client.Send(Read("two"));
   CHECK(upstream.Command().at(2) == "two");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
-  if (site.calls().HasMore()) CHECK(site.calls().Command().at(0) == "CNT.ADD");  // and not its end
+  if (site.calls().HasMore()) CHECK(site.calls().Command().at(0) == "CNT.ADD");  // not closed
 }
 
-TEST_CASE("an answer of the counter without a number ends its connection, and the next call has another") {
-  const auto answer = GENERATE("+OK\r\n", "$3\r\nabc\r\n", "$90\r\n", "*2\r\n", "~", "-NOISE\r\n", "$-1\r\n");
+TEST_CASE(
+    "when a reply of the counter has no total, then its connection is closed and the next call uses a new "
+    "one") {
+  const auto reply = GENERATE("+OK\r\n", "$3\r\nabc\r\n", "$90\r\n", "*2\r\n", "~", "-NOISE\r\n", "$-1\r\n");
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
   client.Send(Read("one"));
   site.calls().Command();
-  client.Send(Read("two"));  // behind it: goes with the connection
+  client.Send(Read("two"));  // pipelined after the first, and lost with the connection
   site.calls().Command();
-  site.calls().Send(answer);
-  Peer first = site.upstream(0).Accept();  // both are let in by the local slice
+  site.calls().Send(reply);
+  Peer first = site.upstream(0).Accept();  // both are admitted by the local slice
   Peer second = site.upstream(0).Accept();
   first.Command();
   second.Command();
@@ -254,9 +267,9 @@
 }
 
 TEST_CASE(
-    "an answer that can't be read costs its attempt only, and one that stops halfway does not hold it up") {
-  const auto answer =
-      GENERATE("*3\r\n$5\r\nab", "~", "-NOISE\r\n", "*3\r\n$3000000000\r\nab", "$2\r\nhi\r\n");
+    "when an upstream's reply is malformed or stalls before its end, then the request is retried on a new "
+    "connection") {
+  const auto reply = GENERATE("*3\r\n$5\r\nab", "~", "-NOISE\r\n", "*3\r\n$3000000000\r\nab", "$2\r\nhi\r\n");
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -264,16 +277,16 @@
   site.Grant();
   Peer upstream = site.upstream(0).Accept();
   upstream.Command();
-  upstream.Send(answer);
+  upstream.Send(reply);
   CHECK(upstream.Ended());
   Peer again = site.upstream(0).Accept();
   CHECK(again.Command().at(2) == "one");
-  again.Send(
-      "*3\r\n$2\r\nhi\r\n-what\r\n$12\r\nutil=,=,9e99\r\n");  // unreadable figures cost themselves only
+  // Malformed usage values and load reports are ignored.
+  again.Send("*3\r\n$2\r\nhi\r\n-what\r\n$12\r\nutil=,=,9e99\r\n");
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("what a next hop sends unasked is never the next request's answer") {
+TEST_CASE("bytes that an upstream sends unsolicited are never taken for the response to the next request") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -285,7 +298,7 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   client.Send(Read("two"));
   site.calls().Command();
-  site.Pause();  // so that the grant is seen before the surplus is read
+  site.Pause();  // so that the counter's reply is processed before the unsolicited bytes
   site.calls().Send("$1\r\n2\r\n");
   upstream.Send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
   site.Resume();
@@ -295,7 +308,8 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
 }
 
-TEST_CASE("an id that is open already is an error, and free again after its answer") {
+TEST_CASE(
+    "a request with the id of an open request is rejected, and the id is free again after the response") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client(), other = site.Client();
@@ -311,8 +325,10 @@
   CHECK(upstream.Command().at(2) == "one");
 }
 
-TEST_CASE("where connections are full the longest unused goes, not the one that has just come") {
-  Site site(1, {{"limits", {{"sockets", 32}}}});  // 8 of them for clients
+TEST_CASE(
+    "when client connections reach their limit, then those idle for longest are closed and new ones "
+    "accepted") {
+  Site site(1, {{"limits", {{"sockets", 32}}}});  // of which 8 are for clients
   site.Start(1);
   std::vector<Peer> idle;
   std::optional<Peer> upstream;
@@ -326,7 +342,7 @@
     idle.back().Until("hi\r\n");
   }
   Peer first = site.Client(), second = site.Client();
-  second.Send(Command({"PING"}));  // both are accepted by now
+  second.Send(Command({"PING"}));  // its response shows that both are accepted
   CHECK(second.Line() == "+PONG\r\n");
   first.Send(Command({"PING"}));
   CHECK(first.Line() == "+PONG\r\n");
@@ -335,8 +351,8 @@
   CHECK_FALSE(idle[7].HasMore());
 }
 
-TEST_CASE("near the clients' share of the descriptors only the longest unused connections are closed early") {
-  Site site(1, {{"limits", {{"sockets", 32}}}});  // 8 for clients, 4 of them may stay
+TEST_CASE("near the limit of client connections only those idle for longest are closed early") {
+  Site site(1, {{"limits", {{"sockets", 32}}}});  // of which 8 are for clients, and 4 of these may stay idle
   site.Start(1);
   std::vector<Peer> clients;
   std::optional<Peer> upstream;
@@ -354,7 +370,7 @@
   CHECK_FALSE(clients[5].HasMore());
 }
 
-TEST_CASE("where connections are many, one that has nothing to ask any more is closed, and only then") {
+TEST_CASE("an idle client connection is closed early when connections are near their limit, and only then") {
   const int sockets = GENERATE(32, 1024);
   Site site(1, {{"limits", {{"sockets", sockets}}}});
   site.Start(1);
@@ -373,17 +389,17 @@
     CHECK(clients[0].Ended());
   } else {
     Peer silent = site.Client();
-    CHECK(silent.Ended());  // later than the clients above stand still
+    CHECK(silent.Ended());  // after a longer time than the clients above have been idle
     CHECK_FALSE(clients[0].HasMore());
   }
 }
 
-TEST_CASE("clients that stand still are told, or closed") {
+TEST_CASE("when a client stalls, then its pending commands fail with an error and its connection is closed") {
   Site site(1);
   site.Start(1);
   Peer silent = site.Client(), half = site.Client(), mixed = site.Client();
   half.Send("*4\r\n$8\r\nAPI.");
-  mixed.Send(Read("one") + "noise\r\n");  // the error stands behind an answer that does not come
+  mixed.Send(Read("one") + "noise\r\n");  // the error waits for a response that does not arrive
   site.Grant();
   Peer upstream = site.upstream(0).Accept();
   upstream.Command();
@@ -396,7 +412,7 @@
   CHECK(silent.Ended());
 }
 
-TEST_CASE("lost partners are dialled again") {
+TEST_CASE("after the connection to the counter or to discovery is lost, the gateway reconnects") {
   Site site(1);
   site.Start(1);
   site.calls().Close();
@@ -406,7 +422,8 @@
   CHECK(watch.Until("\r\n\r\n").find("GET /api/targets?since=41") == 0);
 }
 
-TEST_CASE("SIGHUP: the file's new addresses hold, what is under way goes on, a wrong file changes nothing") {
+TEST_CASE(
+    "after SIGHUP new addresses take effect, calls in flight complete, and an invalid file changes nothing") {
   Site site(1, json::object(), /*with_variables=*/true);
   site.Start(1);
   Peer client = site.Client();
@@ -419,7 +436,7 @@
   CHECK(watch.Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
   CHECK(site.watch().Ended());
   Peer calls = counter.Accept();
-  site.calls().Send("$1\r\n1\r\n");  // the call under way still finds its answer
+  site.calls().Send("$1\r\n1\r\n");  // the call in flight still gets its reply
   Peer upstream = site.upstream(0).Accept();
   upstream.Command();
   upstream.Send(kValue);
@@ -446,7 +463,7 @@
   CHECK(site.Wait() == 0);
 }
 
-TEST_CASE("a wrong configuration ends the program with 2") {
+TEST_CASE("given an invalid configuration, the process exits with 2") {
   Site site(0, {{"discovery", "nowhere"}});
   CHECK(site.Wait() == 2);
 }
