--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -1,6 +1,7 @@
-// Shows the product run: gateways among stand-ins of nodes, counter and discovery on loopback, steady
-// traffic, one gateway killed and started again, one cut off and back. A line a second; exit 0 only if
-// every request got its one answer and the gateways' views are one at the end.
+// Demonstrates the gateways on loopback with simulated upstreams, counter and discovery: under steady traffic
+// one gateway is killed and started again, and another is disconnected and reconnected. It prints a line a
+// second and exits with 0 only if every request got exactly one response and the membership views agree at
+// the end.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -17,7 +18,7 @@
 
 volatile sig_atomic_t interrupted = 0;
 
-void Line(const Rig& rig, int second, Rig::Tally& before) {
+void PrintSecond(const Rig& rig, int second, Rig::Tally& before) {
   const Rig::Tally& now = rig.tally();
   std::printf("%3d s  served %4llu  refused %3llu  failed %3llu  cut short %3llu  |", second,
               static_cast<unsigned long long>(now.served - before.served),
@@ -38,22 +39,24 @@
   std::fflush(stdout);
 }
 
-int Play(bool keep) {
+int RunDemo(bool until_interrupted) {
   Rig rig({.gateways = 4, .nodes = 6});
-  // The front knows of a dead gateway and of one that is cut off only after a while.
-  std::set<int> out;
-  rig.sends_to = [&](int i) { return rig.alive(i) && !out.contains(i); };
-  std::cout << "four gatekeepers, six nodes, a counter and a discovery on loopback, 200 requests a second"
-            << std::endl;
+  // Like a load balancer that notices changes late, clients avoid a gateway for 1 s after its start, and from
+  // shortly before it is disconnected until 2 s after it is reconnected.
+  std::set<int> avoided;
+  rig.sends_to = [&](int i) { return rig.alive(i) && !avoided.contains(i); };
+  std::cout
+      << "four gateways, six upstreams, a counter and a discovery service on loopback, 200 requests a second"
+      << std::endl;
   rig.StartAll();
   if (rig.Until([&] { return rig.AllAgree(); }, 100) < 0) {
-    std::cout << rig.Report() << "they did not find one another" << std::endl;
+    std::cout << rig.Report() << "the gateways did not reach a common membership view" << std::endl;
     return 1;
   }
   rig.Run(milliseconds(500));
   rig.Traffic(200);
   Rig::Tally before;
-  for (int second = 1; !interrupted && (keep || second <= 30); ++second) {
+  for (int second = 1; !interrupted && (until_interrupted || second <= 30); ++second) {
     if (second == 8) {
       std::cout << "       gk-1 is killed" << std::endl;
       rig.Kill(1);
@@ -61,38 +64,41 @@
     if (second == 13) {
       std::cout << "       gk-1 is started again" << std::endl;
       rig.Start(1);
-      out.insert(1);
+      avoided.insert(1);
     }
-    if (second == 14) out.erase(1);
+    if (second == 14) avoided.erase(1);
     if (second == 18) {
-      std::cout << "       gk-2 is cut off from the others, from nodes, counter and discovery" << std::endl;
-      out.insert(2);
+      std::cout
+          << "       gk-2 is cut off from its peers, the upstreams, the counter and the discovery service"
+          << std::endl;
+      avoided.insert(2);
       rig.Run(milliseconds(300));
       rig.CutOff(2);
     }
     if (second == 23) {
-      std::cout << "       gk-2 is reached again" << std::endl;
+      std::cout << "       gk-2 is connected again" << std::endl;
       rig.Rejoin(2);
     }
-    if (second == 25) out.erase(2);
+    if (second == 25) avoided.erase(2);
     rig.Run(seconds(1));
-    Line(rig, second, before);
+    PrintSecond(rig, second, before);
   }
   rig.StopTraffic();
-  const bool answered = rig.Until([&] { return rig.open() == 0; }, 50) >= 0;
-  const bool agree = rig.Until([&] { return rig.AllAgree(); }, 50) >= 0;
+  const bool all_ended = rig.Until([&] { return rig.open() == 0; }, 50) >= 0;
+  const bool views_agree = rig.Until([&] { return rig.AllAgree(); }, 50) >= 0;
   const Rig::Tally& all = rig.tally();
   std::printf(
-      "asked %llu: served %llu, refused %llu, failed %llu, cut short by the kill %llu, never answered %llu\n",
+      "sent %llu: served %llu, refused %llu, failed %llu, cut short by the kill %llu, unanswered %llu\n",
       static_cast<unsigned long long>(all.asked), static_cast<unsigned long long>(all.served),
       static_cast<unsigned long long>(all.refused), static_cast<unsigned long long>(all.failed),
       static_cast<unsigned long long>(all.dropped), static_cast<unsigned long long>(all.unanswered));
-  std::printf("the gatekeepers' views of one another %s\n", agree ? "are one" : "DIFFER");
-  for (const std::string& line : rig.broken()) std::printf("broken: %s\n", line.c_str());
+  std::printf("the gateways' membership views %s\n", views_agree ? "agree" : "DIFFER");
+  for (const std::string& line : rig.broken()) std::printf("violation: %s\n", line.c_str());
   const std::uint64_t ended = all.served + all.refused + all.failed + all.dropped;
-  const bool sound = answered && agree && all.unanswered == 0 && ended == all.asked && rig.broken().empty();
-  if (!sound) std::cout << rig.Report();
-  return sound ? 0 : 1;
+  const bool passed =
+      all_ended && views_agree && all.unanswered == 0 && ended == all.asked && rig.broken().empty();
+  if (!passed) std::cout << rig.Report();
+  return passed ? 0 : 1;
 }
 
 }  // namespace
@@ -100,12 +106,12 @@
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
   signal(SIGINT, [](int) { interrupted = 1; });
-  bool keep = false;
-  CLI::App app("Plays half a minute of four gatekeepers on loopback, with faults");
-  app.add_flag("--keep", keep, "Goes on until interrupted");
+  bool until_interrupted = false;
+  CLI::App app("Runs four gateways on loopback for half a minute, with faults");
+  app.add_flag("--keep", until_interrupted, "Continues until interrupted");
   CLI11_PARSE(app, argc, argv);
   try {
-    return Play(keep);
+    return RunDemo(until_interrupted);
   } catch (const std::exception& error) {
     std::cout << error.what() << std::endl;
     return 1;
--- a/bench/soak_oracle.cpp
+++ b/bench/soak_oracle.cpp
@@ -15,26 +15,32 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLateAnswer{500};  // after its time an answer only earns nothing
-constexpr milliseconds kClientGone{100};  // in which the close of a client may be on its way
+// A response that is late by no more than this earns nothing, but violates no invariant.
+constexpr milliseconds kLateResponseAllowed{500};
+// The close of a client's connection may take this long to reach the gateway.
+constexpr milliseconds kClientCloseDelay{100};
+// The specification allows this between the gateway's last clock reading and the first byte of an attempt.
 constexpr milliseconds kDeadlineSlack{150};
-constexpr milliseconds kDrainAllowed{4'000};
-constexpr milliseconds kRecentRequest{2'000};
-// Between what happens and when this process, which plays all partners in one thread, sees it. What busy
-// machines add to that is the judge's own, not the program's.
-constexpr milliseconds kOwnLag{150};
-// By which a told time may be less than what is left: rounding, the way of a signal, and what a gateway
-// keeps for the way to its client.
-constexpr milliseconds kToldSlack{15};
-// By which a program may take a request for older than it is, beyond the length of a standstill.
-constexpr milliseconds kMostTakenOff{150};
-// By when a gateway that runs has read a request that waits for no other on its connection, also where the
-// system refuses for a moment to watch the socket, which it asks again 4 times a second.
-constexpr milliseconds kReadBy{1'000};
-constexpr milliseconds kCameEarly{700};  // after SIGTERM
-constexpr milliseconds kLongestStop{
-    5'000};  // SIGTERM to SIGKILL, and until a client that reads slowly sees it
-constexpr std::size_t kExamples = 5;
+constexpr milliseconds kMaxDrainTime{4'000};
+constexpr milliseconds kRecentRequestAge{2'000};
+// The delay between an event and the moment at which this process, which simulates all clients, upstreams and
+// services in one thread, observes it. A busy machine adds to this delay, which is not the gateway's fault.
+constexpr milliseconds kObserverLag{150};
+// The remaining time that an upstream receives may be shorter than the actual one by this, because of
+// rounding, the delivery time of a signal, and the time that a gateway reserves for sending the response to
+// its client.
+constexpr milliseconds kRemainingTimeSlack{15};
+// A gateway may overestimate the age of a request by this, in addition to the length of a pause.
+constexpr milliseconds kMaxAgeError{150};
+// A running gateway reads a request that has no earlier one pending on its connection within this time. It
+// includes the case that the system temporarily refuses to watch the socket, which the gateway retries 4
+// times a second.
+constexpr milliseconds kMaxReadDelay{1'000};
+// Requests that are written until this time after SIGTERM are not counted as lost to a regular SIGKILL.
+constexpr milliseconds kExcusedAfterTerm{700};
+// The time from SIGTERM to SIGKILL, and until a client that reads slowly observes the end of its connection.
+constexpr milliseconds kMaxShutdown{5'000};
+constexpr std::size_t kMaxExamples = 5;
 
 const char* Name(RequestEnd end) {
   switch (end) {
@@ -57,50 +63,51 @@
 SoakOracle::SoakOracle(RequestLedger& ledger, int gateways)
     : ledger_(ledger), gateways_(static_cast<std::size_t>(gateways)) {}
 
-void SoakOracle::Continued(int gateway) {
+void SoakOracle::OnResumed(int gateway) {
   Gateway& g = at(gateway);
-  if (!g.stopped_since) return;
-  g.stops.emplace_back(*g.stopped_since, Clock::now());
-  g.stopped_since.reset();
+  if (!g.paused_since) return;
+  g.pauses.emplace_back(*g.paused_since, Clock::now());
+  g.paused_since.reset();
 }
 
-Clock::duration SoakOracle::StoodStill(int gateway, Clock::time_point from, Clock::time_point to) {
+Clock::duration SoakOracle::PausedTime(int gateway, Clock::time_point from, Clock::time_point to) {
   Clock::duration out{0};
   const Gateway& g = at(gateway);
-  for (const auto& [begin, end] : g.stops)
+  for (const auto& [begin, end] : g.pauses)
     out += std::max(Clock::duration(0), std::min(end, to) - std::max(begin, from));
-  if (g.stopped_since) out += std::max(Clock::duration(0), to - std::max(*g.stopped_since, from));
+  if (g.paused_since) out += std::max(Clock::duration(0), to - std::max(*g.paused_since, from));
   return out;
 }
 
-void SoakOracle::WritesHeld(int gateway, milliseconds most) {
-  at(gateway).write_hold = most;
-  at(gateway).writes_held_until = Clock::time_point::max();
+void SoakOracle::OnWritesDelayed(int gateway, milliseconds max_delay) {
+  at(gateway).write_delay = max_delay;
+  at(gateway).writes_delayed_until = Clock::time_point::max();
 }
 
-void SoakOracle::WritesFree(int gateway) {
+void SoakOracle::OnWriteDelayEnded(int gateway) {
   Gateway& g = at(gateway);
-  if (g.writes_held_until == Clock::time_point::max()) g.writes_held_until = Clock::now();
+  if (g.writes_delayed_until == Clock::time_point::max()) g.writes_delayed_until = Clock::now();
 }
 
-// The page allows for 0.15 s between the last look at the clock and the first byte. A stop that begins just
-// there, which a write that is held makes likelier, lengthens that beyond it, and nothing that the program
-// does could tell. What it told proves it: as much as was left when the stop began.
-bool SoakOracle::StoppedBeforeWrite(int gateway, Clock::time_point told_at, Clock::time_point now) {
+// The specification allows 0.15 s between the last clock reading and the first byte. A pause that begins in
+// between, which a delayed write makes more likely, exceeds this limit, and the gateway cannot detect it.
+// Such a case is recognized by the remaining time that the gateway sent: it equals what remained when the
+// pause began.
+bool SoakOracle::PausedBeforeWrite(int gateway, Clock::time_point clock_read_at, Clock::time_point now) {
   const Gateway& g = at(gateway);
-  return std::any_of(g.stops.begin(), g.stops.end(), [&](const auto& stop) {
-    const auto& [begin, end] = stop;
-    const bool just_ended = end <= now && now - end <= kOwnLag;
-    const auto hold = begin <= g.writes_held_until ? g.write_hold : milliseconds(0);
-    // A program that is held again and again rightly takes more off than has passed for a request.
-    const auto taken_off = hold.count() > 0 ? hold + kMostTakenOff : milliseconds(0);
-    const bool told_before =
-        told_at <= begin + kToldSlack + taken_off && told_at + hold + kToldSlack >= begin;
-    return just_ended && told_before;
+  return std::any_of(g.pauses.begin(), g.pauses.end(), [&](const auto& pause) {
+    const auto& [begin, end] = pause;
+    const bool just_resumed = end <= now && now - end <= kObserverLag;
+    const auto delay = begin <= g.writes_delayed_until ? g.write_delay : milliseconds(0);
+    // A gateway whose writes are delayed repeatedly may correctly subtract more time than has passed.
+    const auto age_error = delay.count() > 0 ? delay + kMaxAgeError : milliseconds(0);
+    const bool read_before_pause = clock_read_at <= begin + kRemainingTimeSlack + age_error &&
+                                   clock_read_at + delay + kRemainingTimeSlack >= begin;
+    return just_resumed && read_before_pause;
   });
 }
 
-void SoakOracle::Healed(int gateway) {
+void SoakOracle::OnUpstreamLinkRestored(int gateway) {
   Gateway& g = at(gateway);
   if (g.cut_since) g.cuts.emplace_back(*g.cut_since, Clock::now());
   g.cut_since.reset();
@@ -110,7 +117,7 @@
   const Gateway& g = at(gateway);
   if (g.cut_since && *g.cut_since <= to) return true;
   return std::any_of(g.cuts.begin(), g.cuts.end(),
-                     [&](const auto& cut) { return cut.first <= to && cut.second + kOwnLag >= from; });
+                     [&](const auto& cut) { return cut.first <= to && cut.second + kObserverLag >= from; });
 }
 
 bool SoakOracle::KilledBetween(int gateway, Clock::time_point from, Clock::time_point to) {
@@ -118,18 +125,19 @@
   return std::any_of(killed.begin(), killed.end(), [&](auto when) { return when >= from && when <= to; });
 }
 
-void SoakOracle::Broken(const std::string& invariant, const std::string& what) {
+void SoakOracle::AddViolation(const std::string& invariant, const std::string& description) {
   Finding& finding = findings_[invariant];
   ++finding.count;
   char when[32];
-  std::snprintf(when, sizeof when, "%.3f ", std::chrono::duration<double>(Clock::now() - begun_).count());
-  if (finding.examples.size() < kExamples) finding.examples.push_back(when + what);
+  std::snprintf(when, sizeof when, "%.3f ",
+                std::chrono::duration<double>(Clock::now() - started_at_).count());
+  if (finding.examples.size() < kMaxExamples) finding.examples.push_back(when + description);
 }
 
 std::string SoakOracle::Describe(const std::string& id, const RequestRecord& record) const {
   char text[240];
   const auto since = [this](Clock::time_point then) {
-    return std::chrono::duration<double>(then - begun_).count();
+    return std::chrono::duration<double>(then - started_at_).count();
   };
   std::snprintf(text, sizeof text,
                 "request %s, %s, gk-%d, written %.3f, deadline %.3f, ended %.3f (%s), attempts %d%s",
@@ -139,101 +147,103 @@
   return text;
 }
 
-void SoakOracle::AttemptArrived(std::string_view id, std::string_view extras) {
+void SoakOracle::OnAttempt(std::string_view id, std::string_view extras) {
   RequestRecord* record = ledger_.Find(id);
-  if (record == nullptr) return Broken("only what clients sent is sent on", std::string(id));
+  if (record == nullptr) return AddViolation("only what clients sent is sent on", std::string(id));
   ++record->attempts;
   const auto now = Clock::now();
   const std::string name(id);
   if (record->request_class == RequestClass::kNotIdempotent && record->attempts > 1) {
-    Broken("unsafe requests run once", Describe(name, *record));
+    AddViolation("unsafe requests run once", Describe(name, *record));
   }
   if (CutBetween(record->gateway, record->written, now)) return;
-  const bool gone = record->client_left && record->end == RequestEnd::kConnectionEnded;
-  if (gone && now - record->ended > kClientGone + kOwnLag) {
-    const auto still = StoodStill(record->gateway, record->ended, now);
-    // A process that stands still between its look and its write is allowed 0.15 s for that.
-    if (now - record->ended - still > kClientGone + kOwnLag || still == Clock::duration(0)) {
-      Broken("no attempt begins for a client that has left", Describe(name, *record));
+  const bool client_gone = record->client_left && record->end == RequestEnd::kConnectionEnded;
+  if (client_gone && now - record->ended > kClientCloseDelay + kObserverLag) {
+    const auto paused = PausedTime(record->gateway, record->ended, now);
+    // A process that is paused between its clock reading and its write is allowed 0.15 s for that.
+    if (now - record->ended - paused > kClientCloseDelay + kObserverLag || paused == Clock::duration(0)) {
+      AddViolation("no attempt begins for a client that has left", Describe(name, *record));
     }
   }
-  const milliseconds told(std::atol(partners::Member(extras, "d").c_str()));
-  const auto left = duration_cast<milliseconds>(record->written + record->deadline - now);
-  const auto still = duration_cast<milliseconds>(StoodStill(record->gateway, now - kOwnLag, now));
-  const auto told_at = record->written + record->deadline - told;
-  if (told > left + kDeadlineSlack + kOwnLag + still && !StoppedBeforeWrite(record->gateway, told_at, now)) {
-    Broken("no upstream is told more time than is left", Describe(name, *record) + ", told " +
-                                                             std::to_string(told.count()) + " ms, left " +
-                                                             std::to_string(left.count()) + " ms");
+  const milliseconds sent(std::atol(partners::Member(extras, "d").c_str()));
+  const auto remaining = duration_cast<milliseconds>(record->written + record->deadline - now);
+  const auto paused = duration_cast<milliseconds>(PausedTime(record->gateway, now - kObserverLag, now));
+  const auto clock_read_at = record->written + record->deadline - sent;
+  if (sent > remaining + kDeadlineSlack + kObserverLag + paused &&
+      !PausedBeforeWrite(record->gateway, clock_read_at, now)) {
+    AddViolation("no upstream is told more time than is left",
+                 Describe(name, *record) + ", sent " + std::to_string(sent.count()) + " ms, left " +
+                     std::to_string(remaining.count()) + " ms");
   }
 }
 
-void SoakOracle::JudgeDrain(int gateway, Clock::time_point drained,
+void SoakOracle::CheckDrain(int gateway, Clock::time_point drained,
                             const std::vector<const fleet_rig::HabitClient*>& clients) {
   const auto now = Clock::now();
-  if (now < drained + kDrainAllowed || KilledBetween(gateway, drained, now)) return;
-  if (StoodStill(gateway, drained, now) > Clock::duration(0)) return;
+  if (now < drained + kMaxDrainTime || KilledBetween(gateway, drained, now)) return;
+  if (PausedTime(gateway, drained, now) > Clock::duration(0)) return;
   for (const fleet_rig::HabitClient* client : clients) {
     if (!client->open() || client->never_connected() || client->habit() == Habit::kSlowReader) continue;
     if (client->opened() > now - milliseconds(600))
-      continue;  // it came in the last moment, and is on its way out
-    const bool recent = now - client->last_written() < kRecentRequest;
+      continue;  // The gateway is still closing a connection that it accepted only just now.
+    const bool recent = now - client->last_written() < kRecentRequestAge;
     if (client->pending() > 0 && !recent) continue;
-    Broken("a drain holds no connection idle or with a recent request",
-           std::string(fleet_rig::Name(client->habit())) + " at gk-" + std::to_string(gateway) +
-               ", pending " + std::to_string(client->pending()));
+    AddViolation("a drain holds no connection idle or with a recent request",
+                 std::string(fleet_rig::Name(client->habit())) + " at gk-" + std::to_string(gateway) +
+                     ", pending " + std::to_string(client->pending()));
   }
 }
 
-// By the page, SIGKILL at its time loses only what came more than 0.7 s after SIGTERM. A client that reads
-// slowly may need longer than a process has left that stood still in its stop.
-bool SoakOracle::CutShortByStop(const RequestRecord& record) {
+// By the specification, a regular SIGKILL loses only what came more than 0.7 s after SIGTERM. A client that
+// reads slowly may need more time than remains to a process that was paused during its shutdown.
+bool SoakOracle::CutShortByShutdown(const RequestRecord& record) {
   const Gateway& g = at(record.gateway);
   return std::any_of(g.terminated.begin(), g.terminated.end(), [&](auto when) {
-    if (record.ended <= when || record.ended - when >= kLongestStop) return false;
-    const bool killed = std::any_of(g.killed_in_stop.begin(), g.killed_in_stop.end(),
-                                    [&](auto kill) { return kill > when && kill - when < kLongestStop; });
-    if (killed && record.written <= when + kCameEarly) return true;
+    if (record.ended <= when || record.ended - when >= kMaxShutdown) return false;
+    const bool killed = std::any_of(g.killed_in_shutdown.begin(), g.killed_in_shutdown.end(),
+                                    [&](auto kill) { return kill > when && kill - when < kMaxShutdown; });
+    if (killed && record.written <= when + kExcusedAfterTerm) return true;
     return record.habit == Habit::kSlowReader &&
-           StoodStill(record.gateway, when, record.ended) > Clock::duration(0);
+           PausedTime(record.gateway, when, record.ended) > Clock::duration(0);
   });
 }
 
-void SoakOracle::JudgeEnded(const std::string& id, const RequestRecord& record) {
+void SoakOracle::CheckEnded(const std::string& id, const RequestRecord& record) {
   if (record.client_left) {
     ++tally_.client_left;
     return;
   }
-  // A kill ends what is under way at once; it is no end by the gateway.
+  // A kill ends requests in flight immediately; the gateway is not responsible for it.
   if (KilledBetween(record.gateway, record.written, record.ended + milliseconds(50))) {
     ++tally_.killed;
     return;
   }
-  if (CutShortByStop(record)) {
+  if (CutShortByShutdown(record)) {
     ++tally_.killed;
     return;
   }
   if (record.attempts > 0)
-    return Broken("what was taken is answered before the connection ends", Describe(id, record));
+    return AddViolation("what was taken is answered before the connection ends", Describe(id, record));
   const auto waited =
-      record.ended - record.written - StoodStill(record.gateway, record.written, record.ended);
-  if (!record.pipelined && waited > kReadBy) {
-    return Broken("what has lain at a socket is taken before the connection ends", Describe(id, record));
+      record.ended - record.written - PausedTime(record.gateway, record.written, record.ended);
+  if (!record.pipelined && waited > kMaxReadDelay) {
+    return AddViolation("what has lain at a socket is taken before the connection ends",
+                        Describe(id, record));
   }
   ++tally_.resent;
 }
 
-void SoakOracle::JudgePending(const std::string& id, const RequestRecord& record) {
+void SoakOracle::CheckPending(const std::string& id, const RequestRecord& record) {
   const auto now = Clock::now();
-  const auto timeout = record.deadline + kLateAnswer + kOwnLag;
-  if (now - record.written - StoodStill(record.gateway, record.written, now) < timeout) return;
-  if (record.habit == Habit::kSlowReader) return;  // its answers wait for itself
-  Broken("every request gets its answer in time", Describe(id, record));
+  const auto timeout = record.deadline + kLateResponseAllowed + kObserverLag;
+  if (now - record.written - PausedTime(record.gateway, record.written, now) < timeout) return;
+  if (record.habit == Habit::kSlowReader) return;  // It delays its own responses.
+  AddViolation("every request gets its answer in time", Describe(id, record));
 }
 
-void SoakOracle::JudgeRequests() {
+void SoakOracle::CheckRequests() {
   for (const auto& [id, record] : ledger_.records()) {
-    if (record.written == Clock::time_point()) continue;  // never written whole
+    if (record.written == Clock::time_point()) continue;  // never written completely
     ++tally_.requests;
     switch (record.end) {
       case RequestEnd::kServed:
@@ -246,16 +256,17 @@
         ++tally_.failed;
         break;
       case RequestEnd::kConnectionEnded:
-        JudgeEnded(id, record);
+        CheckEnded(id, record);
         continue;
       case RequestEnd::kPending:
-        JudgePending(id, record);
+        CheckPending(id, record);
         continue;
     }
-    const auto still = StoodStill(record.gateway, record.written, record.ended);
-    const bool in_time = record.ended - record.written - still < record.deadline + kLateAnswer + kOwnLag;
+    const auto paused = PausedTime(record.gateway, record.written, record.ended);
+    const bool in_time =
+        record.ended - record.written - paused < record.deadline + kLateResponseAllowed + kObserverLag;
     if (!in_time && record.habit != Habit::kSlowReader && !record.pipelined) {
-      Broken("every request gets its answer in time", Describe(id, record));
+      AddViolation("every request gets its answer in time", Describe(id, record));
     }
   }
 }
