--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,5 @@
-// The forms that others see, byte for byte: datagrams between gateways of different versions, names and
-// labels of metrics, keys of the operator file. A rename in the code must not change any of them.
+// These tests guard the external formats against accidental changes, such as a rename in the code: datagrams
+// that gateways of different versions exchange, names and labels of metrics, and keys of the operator file.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <cstdio>
@@ -27,7 +27,7 @@
   return out;
 }
 
-TEST_CASE("datagrams of the store of keys keep their bytes") {
+TEST_CASE("given records of the idempotency store, when they are encoded, the datagrams keep their bytes") {
   using namespace idempotency;
   const KeyId key{0x0123456789abcdefULL, 0xfedcba9876543210ULL};
   const auto sealed = [](const Record& record) { return Hex(EncodeDatagram({2, 77}, EncodeRecord(record))); };
@@ -51,7 +51,7 @@
         "73776572");
 }
 
-TEST_CASE("datagrams of the view of the fleet keep their bytes") {
+TEST_CASE("given membership messages, when they are encoded, the datagrams keep their bytes") {
   using namespace membership;
   const Entry own{"gate-0", 3, {1'700'000'000'000, 5, State::kAlive}, EntryKind::kGossip};
   const auto sealed = [&own](Message head) {
@@ -86,7 +86,8 @@
         "0666676174652d320582d095ffbc31001c783b41");
 }
 
-TEST_CASE("datagrams on customers beyond their quotas keep their bytes") {
+TEST_CASE(
+    "given two customers beyond their quotas, when their usage is encoded, the datagram keeps its bytes") {
   const usage::TimePoint now = std::chrono::seconds(1'000);
   usage::UsageTable table({.group_size = 3, .datagrams_per_s = 10, .seed = 1}, now);
   table.Observe(0x01020304, 1.5, now);
@@ -96,7 +97,7 @@
   CHECK(Hex(*datagram) == "505344010403020145d0c0b0a063");
 }
 
-// Each line of the exposition up to its value, help texts left out.
+// Returns each line of the metrics exposition without its value, and without the lines of help texts.
 std::vector<std::string> MetricNames(const std::string& text) {
   std::vector<std::string> out;
   std::istringstream lines(text);
@@ -107,7 +108,7 @@
   return out;
 }
 
-TEST_CASE("metrics keep their names, types and labels") {
+TEST_CASE("given metrics, when they are rendered, they keep their names, types and labels") {
   ops::Metrics metrics;
   metrics.Of("lookup");
   metrics.attempts_ended = {{"served", 1}};
@@ -201,7 +202,8 @@
   CHECK(MetricNames(ops::Render(metrics, {.membership = membership})) == expected);
 }
 
-TEST_CASE("the operator file keeps its keys and words") {
+TEST_CASE(
+    "given an operator file of four blocks, when it is decoded, its keys and words keep their meaning") {
   const char* const text = R"(
 idempotency {
   enabled = true
