--- a/src/config/address.h
+++ b/src/config/address.h
@@ -1,4 +1,4 @@
-// A numeric address and port, ready for the socket calls.
+// A numeric IP address and port in the form that socket calls take.
 #ifndef POSTSPREAD_CONFIG_ADDRESS_H_
 #define POSTSPREAD_CONFIG_ADDRESS_H_
 
@@ -12,7 +12,8 @@
 
 class Address {
  public:
-  // "10.0.0.4:6379" or "[::1]:6379"; there are no names to look up. Nothing where it is not of this form.
+  // Parses "10.0.0.4:6379" or "[::1]:6379". Host names are not resolved. Returns nullopt if `text` is not of
+  // this form or the port is 0.
   static std::optional<Address> Parse(std::string_view text);
 
   [[nodiscard]] const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage_); }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,21 +16,21 @@
 
 using namespace json_reader;
 
-// Room for the program, one body of 4 MB with its copy, and a busy second.
+// Suffices for the program, one 4 MB body with its copy, and one second of high load.
 constexpr std::int64_t kMinMemoryMb = 16;
 constexpr std::int64_t kDefaultMemoryMb = 192;
 constexpr std::int64_t kDefaultSockets = 1'024;
 constexpr std::chrono::microseconds kDefaultUpstreamIdle = std::chrono::seconds(30);
 constexpr std::int64_t kDefaultMaxInFlight = 20'000;
 
-// Members of the configuration that this program reads, or that its pages allow without a use here.
+// Members of the configuration that the gateway reads, or that are documented but ignored.
 constexpr std::string_view kKnownKeys[] = {"counter", "discovery", "known", "limits",
                                            "listen",  "name",      "ops",   "peer_listen",
                                            "peers",   "peers_all", "seed",  "settings"};
 
-// Runs `decode`; an error of a member gets the name of the object that holds it.
+// Runs `decode` and turns its JsonError into a ConfigError prefixed with the name of the containing object.
 template <typename Decode>
-auto Within(const char* object, Decode decode) {
+auto WithErrorContext(const char* object, Decode decode) {
   try {
     return decode();
   } catch (const JsonError& error) {
@@ -38,14 +38,14 @@
   }
 }
 
-// A variable of the environment; nothing where it is absent or empty.
+// Returns an environment variable's value, or nullopt if it is unset or empty.
 std::optional<std::string> Variable(const Environment& environment, const char* name) {
   const char* value = environment(name);
   if (value == nullptr || *value == '\0') return std::nullopt;
   return value;
 }
 
-// The variable, or the file's member where there is no such variable.
+// Returns the environment variable's value, or the file's member if the variable is unset.
 std::string VariableOrMember(const json& from, const char* key, const Environment& environment,
                              const char* variable) {
   if (std::optional<std::string> value = Variable(environment, variable)) return *std::move(value);
@@ -68,7 +68,7 @@
   return seed;
 }
 
-// A limit that is at least `min`.
+// Returns the limit or `fallback`. Throws JsonError if the value is below `min`.
 std::int64_t LimitOr(const json& limits, const char* key, std::int64_t min, std::int64_t fallback) {
   const std::int64_t value = IntegerOr(limits, key, fallback);
   if (value < min) ThrowJsonError(std::string("member \"") + key + "\" is below " + std::to_string(min));
@@ -77,7 +77,7 @@
 
 void CollectKeys(const json& from, const std::string& path, std::vector<std::string>& out);
 
-// The keys that all elements have in common.
+// Appends the keys that all elements have in common.
 void CollectCommonKeys(const json& elements, const std::string& path, std::vector<std::string>& out) {
   std::vector<std::string> common;
   for (std::size_t i = 0; i < elements.size(); ++i) {
@@ -129,7 +129,7 @@
   return number;
 }
 
-// Names and addresses that a variable may override.
+// Decodes the name and the addresses that an environment variable may override.
 void DecodeAddresses(const json& from, const Environment& environment, Discovery discovery, Config& out) {
   out.name = VariableOrMember(from, "name", environment, "ROUTER_NAME");
   if (out.name.empty()) throw ConfigError("\"name\" is missing");
@@ -143,7 +143,7 @@
   out.inherited = InheritedSocket(environment);
 }
 
-// Kept as given: ToPeers checks them where a subsystem needs them.
+// Stores the values without validation: ToPeers validates them if a subsystem needs them.
 void DecodePeers(const json& from, Config& out) {
   if (const json* listen = Find(from, "peer_listen"); listen != nullptr && listen->is_string()) {
     out.peer_listen = listen->get<std::string>();
@@ -161,7 +161,7 @@
   out.sockets = static_cast<std::size_t>(LimitOr(limits, "sockets", min_sockets, kDefaultSockets));
 }
 
-// Of the settings' limits, the two that concern connections and memory rather than decisions.
+// Decodes those two of the settings' limits that bound connections and memory and do not affect decisions.
 void DecodeConnectionLimits(const json& limits, Config& out) {
   out.upstream_idle = std::chrono::microseconds(LimitOr(limits, "ConnIdle", 1, kDefaultUpstreamIdle.count()));
   out.max_in_flight = static_cast<std::size_t>(LimitOr(limits, "MaxOpen", 1, kDefaultMaxInFlight));
@@ -169,8 +169,8 @@
 
 void DecodeDeploymentSettings(const json& from, Config& out) {
   const json& settings = Require(from, "settings");
-  out.settings = Within("settings", [&] { return DecodeSettings(settings); });
-  Within("settings.Limits", [&] { DecodeConnectionLimits(ObjectOr(settings, "Limits"), out); });
+  out.settings = WithErrorContext("settings", [&] { return DecodeSettings(settings); });
+  WithErrorContext("settings.Limits", [&] { DecodeConnectionLimits(ObjectOr(settings, "Limits"), out); });
   if (out.settings.classes.empty()) throw ConfigError("settings: member \"Classes\" is empty");
   if (out.settings.plans.empty()) throw ConfigError("settings: member \"Contracts\" is empty");
 }
@@ -181,9 +181,9 @@
   out.seed = ToSeed(from);
   DecodePeers(from, out);
   const json& limits = ObjectOr(from, "limits");
-  Within("limits", [&] { DecodeProcessLimits(limits, out); });
+  WithErrorContext("limits", [&] { DecodeProcessLimits(limits, out); });
   if (Find(from, "known") != nullptr) {
-    out.known = Within("known", [&] { return DecodeEndpointList(from["known"]); });
+    out.known = WithErrorContext("known", [&] { return DecodeEndpointList(from["known"]); });
   }
   DecodeDeploymentSettings(from, out);
   out.unknown_keys = UnknownKeys(from);
@@ -208,7 +208,7 @@
 Config Decode(std::string_view text, const Environment& environment, Discovery discovery) {
   const json from = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (from.is_discarded() || !from.is_object()) throw ConfigError("the configuration is not a JSON object");
-  return Within("configuration", [&] { return DecodeObject(from, environment, discovery); });
+  return WithErrorContext("configuration", [&] { return DecodeObject(from, environment, discovery); });
 }
 
 std::optional<Peers> ToPeers(const Config& config) {
@@ -216,7 +216,7 @@
     return std::nullopt;
   if (std::ssize(config.peers) != config.settings.group_size) {
     throw ConfigError("\"peers\" names " + std::to_string(config.peers.size()) +
-                      " gatekeepers, the settings " + std::to_string(config.settings.group_size));
+                      " gateways, but \"GroupSize\" is " + std::to_string(config.settings.group_size));
   }
   Peers out{.listen = ToAddress(config.peer_listen, "peer_listen"), .each = {}, .all = {}};
   if (!config.peers_all.empty()) out.all = ToAddress(config.peers_all, "peers_all");
@@ -226,16 +226,16 @@
 
 Config Load(const Environment& environment) { return Decode(ReadFile(environment), environment); }
 
-void CheckComplete(const Config& next, const Config& in_force) {
+void CheckComplete(const Config& next, const Config& current) {
   std::vector<std::string> missing;
-  std::set_difference(in_force.keys.begin(), in_force.keys.end(), next.keys.begin(), next.keys.end(),
+  std::set_difference(current.keys.begin(), current.keys.end(), next.keys.begin(), next.keys.end(),
                       std::back_inserter(missing));
   if (!missing.empty()) throw ConfigError("\"" + missing.front() + "\" is missing");
 }
 
-Config Reload(const Environment& environment, const Config& in_force) {
+Config Reload(const Environment& environment, const Config& current) {
   Config out = Decode(ReadFile(environment), environment, Discovery::kFromFile);
-  CheckComplete(out, in_force);
+  CheckComplete(out, current);
   return out;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,5 +1,5 @@
-// The platform's configuration: read, checked and given defaults in this one place, from the file that
-// ROUTER_CONFIG names and the variables beside it.
+// The platform's configuration. It is read from the file that ROUTER_CONFIG names and from environment
+// variables, validated and completed with defaults only here.
 #ifndef POSTSPREAD_CONFIG_CONFIG_H_
 #define POSTSPREAD_CONFIG_CONFIG_H_
 
@@ -19,63 +19,66 @@
 
 namespace postspread::config {
 
-// The configuration can't be used; the text names the faulty key.
+// The configuration is invalid. The text names the invalid key.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string name;  // of this gateway, for the log and the membership view
-  Address listen;    // where clients connect
+  std::string name;  // the gateway's name in the log and the membership view
+  Address listen;    // the address that clients connect to
   Address discovery;
-  std::optional<Address> ops;      // of the admin server; absent: there is none
-  std::optional<Address> counter;  // absent: the deployment has none
-  // As given, for subsystems that talk to the other gateways: ToPeers checks them.
+  std::optional<Address> ops;      // the admin server's address; absent: no admin server
+  std::optional<Address> counter;  // absent: the deployment has no counter
+  // The next three are not validated here: ToPeers does so for the subsystems that send to other gateways.
   std::string peer_listen;
   std::vector<std::string> peers;
   std::string peers_all;
-  std::optional<int> inherited;  // the clients' listening socket, open already; absent: open one
-  std::uint64_t seed = 0;        // of all random draws
+  std::optional<int> inherited;  // an open listening socket for clients; absent: the gateway opens one
+  std::uint64_t seed = 0;        // the seed of all random numbers
   std::size_t memory_mb = 192;
   std::size_t sockets = 1024;
-  EndpointList known;  // the endpoint list as last cached by the platform
+  EndpointList known;  // the endpoint list that the platform cached last
   Settings settings;
-  std::chrono::microseconds upstream_idle{0};  // after which an upstream closes an idle connection
-  std::size_t max_in_flight = 0;               // requests
-  // The file's keys, sorted, as "settings.Limits.MostTries"; of a list's elements those that all of them
-  // have, as "settings.Classes[].Aim". Those below `known` are left out.
+  std::chrono::microseconds upstream_idle{0};  // idle time after which an upstream closes a connection
+  std::size_t max_in_flight = 0;               // maximum of requests in flight
+  // The full names of the file's keys, sorted, for example "settings.Limits.MostTries". A key in a list's
+  // elements is included if all elements have it, for example "settings.Classes[].Aim". Keys below `known`
+  // are not included.
   std::vector<std::string> keys;
-  // Members of the file's object that nothing reads, sorted, for a warning in the log.
+  // Members of the file's object that nothing reads, sorted. They are logged as a warning.
   std::vector<std::string> unknown_keys;
 };
 
-// Where the gateways of the group are reached by datagrams.
+// The addresses at which the gateways of the group receive datagrams.
 struct Peers {
   Address listen;
-  std::vector<Address> each;   // by rank, the own one included
-  std::optional<Address> all;  // broadcast to every other one; absent: each gets its own datagram
+  std::vector<Address> each;   // indexed by rank; includes this gateway's own address
+  std::optional<Address> all;  // broadcasts to all others; absent: a datagram is sent to each of them
 };
-// Absent where the settings do not allow messages, or the configuration names nobody. Throws ConfigError.
+// Returns nullopt if the settings do not allow messages or the configuration names no peers. Throws
+// ConfigError if an address is invalid or the number of peers is not the group size.
 std::optional<Peers> ToPeers(const Config& config);
 
 using Environment = std::function<const char*(const char* name)>;
 
-// Reads ROUTER_CONFIG and the variables beside it; a variable wins over the file's key. Throws ConfigError.
+// Reads the file that ROUTER_CONFIG names and the other environment variables. A variable takes precedence
+// over the file's key. Throws ConfigError.
 Config Load(const Environment& environment);
 
-// The same for a reload. The file's `discovery` wins over the variable, which is as old as the start; of the
-// other variables each still wins over the file. A key of the file in force has to be there, even one with a
-// default: a file without it may have been cut short.
-Config Reload(const Environment& environment, const Config& in_force);
+// Does the same for a reload. The file's `discovery` takes precedence over the variable, whose value dates
+// from the start; the other variables still take precedence over the file. Every key of the current file is
+// required, even one with a default, because a file that lacks it may be truncated.
+Config Reload(const Environment& environment, const Config& current);
 
-// Throws ConfigError where `next` lacks a key that `in_force` has.
-void CheckComplete(const Config& next, const Config& in_force);
+// Throws ConfigError if `next` lacks a key that `current` has.
+void CheckComplete(const Config& next, const Config& current);
 
-// Which one wins where both name discovery.
+// Which source takes precedence if both contain discovery's address.
 enum class Discovery { kFromVariable, kFromFile };
 
-// The same from the file's text.
+// Decodes the configuration from the file's text. Throws ConfigError.
 Config Decode(std::string_view text, const Environment& environment,
               Discovery discovery = Discovery::kFromVariable);
 
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -14,7 +14,7 @@
 UpstreamState ToState(const std::string& status) {
   if (status == "Ready") return UpstreamState::kReady;
   if (status == "Gone") return UpstreamState::kRemoved;
-  return UpstreamState::kDraining;  // also what is not known: it is not said to be ready
+  return UpstreamState::kDraining;  // an unknown status does not state readiness
 }
 
 Endpoint DecodeEntry(const json& from) {
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's list of upstreams, decoded once.
+// Decodes the endpoint list, which discovery returns and the configuration caches.
 #ifndef POSTSPREAD_CONFIG_ENDPOINT_LIST_H_
 #define POSTSPREAD_CONFIG_ENDPOINT_LIST_H_
 
@@ -18,11 +18,11 @@
 
 struct EndpointList {
   std::uint64_t index = 0;
-  bool full = true;  // else the entries that changed
+  bool full = true;  // false: `entries` holds only the changes
   std::vector<Endpoint> entries;
 };
 
-// Throws json_reader::JsonError, which names the faulty member.
+// Throws json_reader::JsonError, which names the invalid member.
 EndpointList DecodeEndpointList(const nlohmann::json& from);
 
 }  // namespace postspread::config
--- a/src/config/json_reader.cpp
+++ b/src/config/json_reader.cpp
@@ -6,7 +6,7 @@
 namespace postspread::json_reader {
 namespace {
 
-constexpr double kMaxExactDouble = 9e15;  // whole numbers up to about 2^53 are exact
+constexpr double kMaxExactDouble = 9e15;  // a double represents integers up to about 2^53 exactly
 
 double ToNumber(const json& value, const char* key) {
   if (!value.is_number()) ThrowJsonError(std::string("member \"") + key + "\" is not a number");
@@ -69,7 +69,7 @@
 }
 
 std::string ToText(const json& value, const char* key) {
-  if (!value.is_string()) ThrowJsonError(std::string("member \"") + key + "\" is not text");
+  if (!value.is_string()) ThrowJsonError(std::string("member \"") + key + "\" is not a string");
   return value.get<std::string>();
 }
 
@@ -90,7 +90,7 @@
 
 const json& Array(const json& from, const char* key) {
   const json& value = Require(from, key);
-  if (!value.is_array()) ThrowJsonError(std::string("member \"") + key + "\" is not a list");
+  if (!value.is_array()) ThrowJsonError(std::string("member \"") + key + "\" is not an array");
   return value;
 }
 
--- a/src/config/json_reader.h
+++ b/src/config/json_reader.h
@@ -1,5 +1,5 @@
-// Reads members of a JSON object into checked values. Every error names the member. The readers whose names
-// end in `Or` return their default where the member is absent or null.
+// Reads members of a JSON object into validated values. Every error names the member. The functions whose
+// names end in `Or` return their default if the member is absent or null.
 #ifndef POSTSPREAD_CONFIG_JSON_READER_H_
 #define POSTSPREAD_CONFIG_JSON_READER_H_
 
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// A value that is missing, of the wrong type or out of range; the text names the member.
+// A value is missing, of the wrong type or out of range. The text names the member.
 class JsonError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,7 +23,7 @@
 
 [[noreturn]] void ThrowJsonError(const std::string& what);
 
-// Null where the member is absent.
+// Returns null if the member is absent or null.
 const json* Find(const json& from, const char* key);
 const json& Require(const json& from, const char* key);
 
@@ -35,14 +35,14 @@
 std::string ToText(const json& value, const char* key);
 std::string Text(const json& from, const char* key);
 std::string TextOr(const json& from, const char* key, std::string fallback = "");
-// A member in microseconds.
+// The member is a number of microseconds.
 std::chrono::microseconds Time(const json& from, const char* key);
 std::chrono::microseconds TimeOr(const json& from, const char* key);
 const json& Array(const json& from, const char* key);
-// An empty object where the member is absent.
+// Returns an empty object if the member is absent.
 const json& ObjectOr(const json& from, const char* key);
 
-// A word of the wire and the value that it stands for.
+// A text value in JSON and the enum value that it stands for.
 template <typename T>
 struct EnumName {
   const char* name;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-// Each Decode function below is the table from the member names of one object to our terms.
+// Each Decode function below maps the member names of one JSON object to fields of Settings.
 #include "config/settings.h"
 
 #include <algorithm>
@@ -41,13 +41,13 @@
   out.over_quota_weight = NumberOr(from, "ExcessWorth", 0);
   out.over_quota_cost = NumberOr(from, "ExcessCost", 0);
   if (out.rate < 0) ThrowJsonError("member \"PerSecond\" of \"" + out.name + "\" is below 0");
-  // A token bucket without a burst admits nothing, and its period would have no length.
+  // A token bucket without a burst admits nothing, and its period would be zero.
   if (out.rate > 0 && out.burst <= 0)
     ThrowJsonError("member \"Depth\" of \"" + out.name + "\" is not above 0");
   return out;
 }
 
-// A class or plan is known by its name, so no name may stand twice.
+// Classes and plans are identified by their names, so a duplicate name is an error.
 template <typename Named>
 void CheckUniqueName(const std::vector<Named>& earlier, const std::string& name, const char* kind) {
   const bool taken =
@@ -76,7 +76,7 @@
   return out;
 }
 
-// This gateway's place in its group and its zone.
+// Decodes the gateway's zone and its rank in its group.
 void DecodeIdentity(const json& from, Settings& out) {
   if (Find(from, "Zones") != nullptr) {
     for (const json& zone : Array(from, "Zones")) out.zones.push_back(ToText(zone, "Zones"));
@@ -84,7 +84,7 @@
   out.zone = TextOr(from, "MyZone");
   out.rank = static_cast<int>(IntegerOr(from, "Rank", 0));
   out.group_size = static_cast<int>(IntegerOr(from, "GroupSize", 1));
-  // Ranks count from 0. Without a group size there is nothing to check the rank against.
+  // Ranks start at 0. If the group size is absent, the rank can't be checked.
   if (Find(from, "GroupSize") != nullptr && (out.rank < 0 || out.rank >= out.group_size)) {
     ThrowJsonError("members \"Rank\" and \"GroupSize\" contradict one another: " + std::to_string(out.rank) +
                    " of " + std::to_string(out.group_size));
@@ -105,7 +105,7 @@
       {{"none", ReportSource::kNone}, {"answers", ReportSource::kAnswers}, {"probe", ReportSource::kProbes}});
 }
 
-// What the gateways share: the counter, the meter and messages to peers.
+// Decodes what the gateways share: the counter, the metering period and messages to peers.
 void DecodeSharedState(const json& domain, Settings& out) {
   out.has_counter = BoolOr(domain, "SharedCounter");
   out.counter_timeout = TimeOr(domain, "CountLimit");
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings object of a deployment, as JSON, into Settings; used by the adapter and the gateway alike.
+// Decodes a deployment's settings object from JSON. The simulator adapter and the gateway both use it.
 #ifndef POSTSPREAD_CONFIG_SETTINGS_H_
 #define POSTSPREAD_CONFIG_SETTINGS_H_
 
@@ -7,7 +7,7 @@
 
 namespace postspread {
 
-// Skips members that it does not know. Throws json_reader::JsonError, which names the faulty member.
+// Ignores unknown members. Throws json_reader::JsonError, which names the invalid member.
 Settings DecodeSettings(const nlohmann::json& from);
 
 }  // namespace postspread
--- a/src/config/sockets.h
+++ b/src/config/sockets.h
@@ -1,4 +1,4 @@
-// Descriptors that serve neither clients nor upstreams.
+// How many of a process's file descriptors are reserved for other uses than clients and upstreams.
 #ifndef POSTSPREAD_CONFIG_SOCKETS_H_
 #define POSTSPREAD_CONFIG_SOCKETS_H_
 
@@ -6,12 +6,13 @@
 
 namespace postspread::config {
 
-inline constexpr std::size_t kOtherSockets = 16;  // log, loop, listener, discovery, counter, the library's
-inline constexpr std::size_t kAdminConnections = 12;  // operators' calls held at once
+// For the log, the event loop, the listener, discovery, the counter and the event library.
+inline constexpr std::size_t kOtherSockets = 16;
+inline constexpr std::size_t kAdminConnections = 12;  // maximum of concurrent connections to the admin server
 inline constexpr std::size_t kAdminSockets = kAdminConnections + 1;
-inline constexpr std::size_t kLeastForRequests = 16;  // clients and upstreams together
+inline constexpr std::size_t kLeastForRequests = 16;  // minimum for clients and upstreams together
 
-// What a process needs at least.
+// Returns the minimum of descriptors for a process. It doubles if two processes share the limit.
 constexpr std::size_t LeastSockets(bool has_admin_server, bool shared) {
   return (kOtherSockets + kLeastForRequests + (has_admin_server ? kAdminSockets : 0)) * (shared ? 2 : 1);
 }
