--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -1,4 +1,4 @@
-// The functions of each block below are the table from its keys and words to the fields of a Limits struct.
+// The functions for each block below map its keys and values to the fields of a Limits struct.
 #include "operator/operator_file.h"
 
 #include <confuse.h>
@@ -17,32 +17,32 @@
 namespace postspread::operator_file {
 namespace {
 
-constexpr std::size_t kMaxFile = 1 << 20;
+constexpr std::size_t kMaxFileBytes = 1 << 20;
 
-// Set behind the text: libconfuse takes the end of the file for the end of a block that is still open, and a
-// file that was cut would hold in part. Inside a block there is no such option.
-constexpr char kEnd[] = "__end";
+// This option is appended to the text to detect a truncated file: libconfuse closes an open block at the end
+// of the file, and would accept the part of the block that is there. No block has an option of this name.
+constexpr char kEndMarker[] = "__end";
 
 struct FreeConfig {
   void operator()(cfg_t* cfg) const { cfg_free(cfg); }
 };
 using ConfigHandle = std::unique_ptr<cfg_t, FreeConfig>;
 
-// libconfuse hands its error callback no context: the text goes to whoever parses on this thread.
+// Receives the error of this thread's current parse, as libconfuse passes no context to its error callback.
 struct ErrorSink {
   const std::string& name;
-  std::string fault;
+  std::string error;
 };
 thread_local ErrorSink* error_sink = nullptr;
 
-void KeepError(cfg_t* cfg, const char* format, va_list arguments) {
-  if (error_sink == nullptr || !error_sink->fault.empty()) return;  // the first fault is the one to mend
+void RecordError(cfg_t* cfg, const char* format, va_list arguments) {
+  if (error_sink == nullptr || !error_sink->error.empty()) return;  // later errors are dropped
   char text[512];
   std::vsnprintf(text, sizeof text, format, arguments);
-  error_sink->fault = error_sink->name + ":" + std::to_string(cfg->line) + ": " + text;
+  error_sink->error = error_sink->name + ":" + std::to_string(cfg->line) + ": " + text;
 }
 
-// A word of the file and the value that it stands for.
+// A text value in the file and the enum value that it stands for.
 template <typename T>
 struct EnumName {
   const char* name;
@@ -52,7 +52,7 @@
 template <typename T>
 int ParseEnum(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result, const char* all_names,
               std::initializer_list<EnumName<T>> names) {
-  if (GivenTwice(cfg, opt)) return -1;
+  if (ReportRepeatedKey(cfg, opt)) return -1;
   for (const EnumName<T>& known : names) {
     if (std::strcmp(known.name, value) != 0) continue;
     *static_cast<long*>(result) = static_cast<long>(known.value);
@@ -78,12 +78,12 @@
 // ---- idempotency { ... }
 
 void CheckIdempotency(cfg_t* root) {
-  cfg_set_validate_func(root, "idempotency|memory", Within<64L << 10, 1L << 30, ' ', 'b'>);
-  cfg_set_validate_func(root, "idempotency|keep", Within<1'000, 3'600'000, 'm', 's'>);
-  cfg_set_validate_func(root, "idempotency|max_waiters", Within<1, 4'096>);
-  cfg_set_validate_func(root, "idempotency|witnesses", Within<1, 15>);
-  cfg_set_validate_func(root, "idempotency|datagrams_per_second", Within<1, 100'000>);
-  cfg_set_validate_func(root, "idempotency|peer_silent", Within<100, 60'000, 'm', 's'>);
+  cfg_set_validate_func(root, "idempotency|memory", CheckRange<64L << 10, 1L << 30, ' ', 'b'>);
+  cfg_set_validate_func(root, "idempotency|keep", CheckRange<1'000, 3'600'000, 'm', 's'>);
+  cfg_set_validate_func(root, "idempotency|max_waiters", CheckRange<1, 4'096>);
+  cfg_set_validate_func(root, "idempotency|witnesses", CheckRange<1, 15>);
+  cfg_set_validate_func(root, "idempotency|datagrams_per_second", CheckRange<1, 100'000>);
+  cfg_set_validate_func(root, "idempotency|peer_silent", CheckRange<100, 60'000, 'm', 's'>);
 }
 
 idempotency::Limits DecodeIdempotency(cfg_t* block) {
@@ -114,11 +114,11 @@
 void CheckMembership(cfg_t* root) {
   cfg_set_validate_func(root, "fleet|name", CheckMembershipName);
   cfg_set_validate_func(root, "fleet|datagram",
-                        Within<membership::kLeastDatagram, membership::kMaxDatagram, ' ', 'b'>);
-  cfg_set_validate_func(root, "fleet|datagrams_per_second", Within<5, 10'000>);
-  cfg_set_validate_func(root, "fleet|period", Within<50, 60'000, 'm', 's'>);
-  cfg_set_validate_func(root, "fleet|suspicion", Within<100, 600'000, 'm', 's'>);
-  cfg_set_validate_func(root, "fleet|forget", Within<1'000, 86'400'000, 'm', 's'>);
+                        CheckRange<membership::kLeastDatagram, membership::kMaxDatagram, ' ', 'b'>);
+  cfg_set_validate_func(root, "fleet|datagrams_per_second", CheckRange<5, 10'000>);
+  cfg_set_validate_func(root, "fleet|period", CheckRange<50, 60'000, 'm', 's'>);
+  cfg_set_validate_func(root, "fleet|suspicion", CheckRange<100, 600'000, 'm', 's'>);
+  cfg_set_validate_func(root, "fleet|forget", CheckRange<1'000, 86'400'000, 'm', 's'>);
 }
 
 membership::Limits DecodeMembership(cfg_t* block, const std::string& file) {
@@ -132,12 +132,12 @@
   out.period = std::chrono::milliseconds(cfg_getint(block, "period"));
   out.suspicion = std::chrono::milliseconds(cfg_getint(block, "suspicion"));
   out.forget = std::chrono::milliseconds(cfg_getint(block, "forget"));
-  const auto wrong = [&](const char* what) { throw OperatorError(file + ": " + what); };
-  // Confirmation probes are five a period: in two periods ten fail before a member is declared dead.
-  if (out.suspicion < 2 * out.period) wrong("fleet.suspicion is shorter than two of fleet.period");
-  if (out.forget < out.suspicion) wrong("fleet.forget is shorter than fleet.suspicion");
-  if (out.listen.empty() && !out.seeds.empty()) wrong("fleet.seeds needs fleet.listen");
-  if (!out.listen.empty() && out.seeds.empty()) wrong("fleet.listen needs fleet.seeds");
+  const auto fail = [&](const char* what) { throw OperatorError(file + ": " + what); };
+  // At five confirmation probes per period, ten must fail before a member is declared dead.
+  if (out.suspicion < 2 * out.period) fail("fleet.suspicion is shorter than twice fleet.period");
+  if (out.forget < out.suspicion) fail("fleet.forget is shorter than fleet.suspicion");
+  if (out.listen.empty() && !out.seeds.empty()) fail("fleet.seeds needs fleet.listen");
+  if (!out.listen.empty() && out.seeds.empty()) fail("fleet.listen needs fleet.seeds");
   return out;
 }
 
@@ -147,7 +147,7 @@
           .least = static_cast<std::size_t>(cfg_getint(block, "least"))};
 }
 
-// ---- The blocks' keys, parsers and defaults ----
+// ---- Keys, parsers and defaults of each block ----
 
 using Options = std::vector<cfg_opt_t>;
 
@@ -156,7 +156,7 @@
   return {
       CFG_BOOL_CB("enabled", defaults.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
       CFG_INT_CB("memory", static_cast<long>(defaults.memory), CFGF_NONE, ParseSize),
-      CFG_INT_CB("keep", defaults.keep.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("keep", defaults.keep.count(), CFGF_NONE, ParseDuration),
       CFG_FLOAT_CB("customer_share", defaults.customer_quota, CFGF_NONE, ParseFraction),
       CFG_INT_CB("max_waiters", static_cast<long>(defaults.max_waiters), CFGF_NONE, ParseCount),
       CFG_INT_CB("when_full", static_cast<long>(defaults.when_full), CFGF_NONE, ParseWhenFull),
@@ -164,7 +164,7 @@
       CFG_INT_CB("witnesses", static_cast<long>(defaults.replicas), CFGF_NONE, ParseCount),
       CFG_INT_CB("datagrams_per_second", static_cast<long>(defaults.datagrams_per_second), CFGF_NONE,
                  ParseCount),
-      CFG_INT_CB("peer_silent", defaults.peer_silent.count(), CFGF_NONE, ParseSpan),
+      CFG_INT_CB("peer_silent", defaults.peer_silent.count(), CFGF_NONE, ParseDuration),
       CFG_END()};
 }
 
@@ -174,7 +174,7 @@
 }
 
 Options MembershipOptions() {
-  static const membership::Limits defaults;  // the options point into its strings until they are copied
+  static const membership::Limits defaults;  // the options point to its strings until libconfuse copies them
   return {CFG_BOOL_CB("enabled", defaults.enabled ? cfg_true : cfg_false, CFGF_NONE, ParseFlag),
           CFG_STR("name", defaults.name.c_str(), CFGF_NONE),
           CFG_STR_LIST("seeds", const_cast<char*>("{}"), CFGF_NONE),
@@ -182,9 +182,9 @@
           CFG_INT_CB("datagram", static_cast<long>(defaults.datagram), CFGF_NONE, ParseSize),
           CFG_INT_CB("datagrams_per_second", static_cast<long>(defaults.datagrams_per_second), CFGF_NONE,
                      ParseCount),
-          CFG_INT_CB("period", defaults.period.count(), CFGF_NONE, ParseSpan),
-          CFG_INT_CB("suspicion", defaults.suspicion.count(), CFGF_NONE, ParseSpan),
-          CFG_INT_CB("forget", defaults.forget.count(), CFGF_NONE, ParseSpan),
+          CFG_INT_CB("period", defaults.period.count(), CFGF_NONE, ParseDuration),
+          CFG_INT_CB("suspicion", defaults.suspicion.count(), CFGF_NONE, ParseDuration),
+          CFG_INT_CB("forget", defaults.forget.count(), CFGF_NONE, ParseDuration),
           CFG_END()};
 }
 
@@ -195,7 +195,7 @@
           CFG_INT_CB("least", static_cast<long>(defaults.least), CFGF_NONE, ParseCount), CFG_END()};
 }
 
-// A parser for the whole file. libconfuse copies the options.
+// Creates the parser for the whole file. libconfuse copies the options.
 ConfigHandle MakeParser(const std::string& file) {
   Options idempotency = IdempotencyOptions();
   Options usage = UsageOptions();
@@ -205,15 +205,15 @@
                         CFG_SEC("demand", usage.data(), CFGF_NONE),
                         CFG_SEC("fleet", membership.data(), CFGF_NONE),
                         CFG_SEC("concert", subsetting.data(), CFGF_NONE),
-                        CFG_BOOL(kEnd, cfg_false, CFGF_NONE),
+                        CFG_BOOL(kEndMarker, cfg_false, CFGF_NONE),
                         CFG_END()};
   ConfigHandle root(cfg_init(blocks, CFGF_NONE));
   if (!root) throw OperatorError(file + ": not enough memory to read it");
-  cfg_set_error_function(root.get(), KeepError);
+  cfg_set_error_function(root.get(), RecordError);
   CheckIdempotency(root.get());
   CheckMembership(root.get());
-  cfg_set_validate_func(root.get(), "concert|nodes", Within<2, 1'000>);
-  cfg_set_validate_func(root.get(), "concert|least", Within<1, 1'000>);
+  cfg_set_validate_func(root.get(), "concert|nodes", CheckRange<2, 1'000>);
+  cfg_set_validate_func(root.get(), "concert|least", CheckRange<1, 1'000>);
   return root;
 }
 
@@ -222,11 +222,11 @@
   error_sink = &sink;
   const bool is_text = text.find('\0') == std::string::npos;
   const int result =
-      is_text ? cfg_parse_buf(root, (text + "\n" + kEnd + " = true\n").c_str()) : CFG_FILE_ERROR;
+      is_text ? cfg_parse_buf(root, (text + "\n" + kEndMarker + " = true\n").c_str()) : CFG_FILE_ERROR;
   error_sink = nullptr;
-  if (sink.fault.find(kEnd) != std::string::npos) throw OperatorError(file + ": a block is not closed");
+  if (sink.error.find(kEndMarker) != std::string::npos) throw OperatorError(file + ": a block is not closed");
   if (result == CFG_SUCCESS) return;
-  throw OperatorError(sink.fault.empty() ? file + ": not a text file" : sink.fault);
+  throw OperatorError(sink.error.empty() ? file + ": not a text file" : sink.error);
 }
 
 }  // namespace
@@ -245,7 +245,7 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) throw OperatorError(path + ": can't be read");
-  if (text.view().size() > kMaxFile) throw OperatorError(path + ": is longer than 1 MiB");
+  if (text.view().size() > kMaxFileBytes) throw OperatorError(path + ": is larger than 1 MiB");
   return Decode(text.str(), path);
 }
 
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -1,6 +1,6 @@
-// The operator file: what this installation switches on beside the platform's own configuration. Read,
-// checked and given defaults here, once; errors name file, line and key. Blocks that are absent leave the
-// program as it is without a file.
+// The operator file: the optional features that an installation enables in addition to the platform's
+// configuration. It is read, validated and completed with defaults only here. Errors name file, line and key.
+// An absent block has the same effect as an absent file.
 #ifndef POSTSPREAD_OPERATOR_OPERATOR_FILE_H_
 #define POSTSPREAD_OPERATOR_OPERATOR_FILE_H_
 
@@ -14,7 +14,7 @@
 
 namespace postspread::operator_file {
 
-// What is wrong with the file: "FILE:LINE: what", the key by its full name.
+// The file is invalid. The text has the form "FILE:LINE: message" and contains the key's full name.
 class OperatorError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -28,10 +28,10 @@
   bool operator==(const OperatorFile&) const = default;
 };
 
-// Throws OperatorError. A file is 1 MiB at most.
+// Throws OperatorError, also if the file is larger than 1 MiB.
 OperatorFile Load(const std::string& path);
 
-// The same from the file's text; `name` stands for its path in messages.
+// Decodes the file's text. Error messages contain `name` as its path. Throws OperatorError.
 OperatorFile Decode(const std::string& text, const std::string& name);
 
 }  // namespace postspread::operator_file
--- a/src/operator/values.cpp
+++ b/src/operator/values.cpp
@@ -9,22 +9,22 @@
 namespace postspread::operator_file {
 namespace {
 
-// A flag of ours on the parser's own copy of an option, well above those of libconfuse: its own mark of a
-// change is set already when the first value is parsed.
-constexpr cfg_flag_t kSeen = 1 << 30;
+// Marks the parser's copy of an option that has a value, in a bit well above libconfuse's flags. libconfuse's
+// own flag for a changed option can't be used: it is already set when the first value is parsed.
+constexpr cfg_flag_t kAlreadySet = 1 << 30;
 
 struct Unit {
   const char* name;
   long factor;
 };
-constexpr Unit kSpans[] = {{"ms", 1}, {"s", 1'000}, {"m", 60'000}, {"h", 3'600'000}};
-constexpr Unit kSizes[] = {{"b", 1}, {"kb", 1L << 10}, {"mb", 1L << 20}, {"gb", 1L << 30}};
-
-// A whole number of the largest unit that fits it is what people write; a fraction is not taken.
-template <std::size_t kSize>
-int ParseWithUnit(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result, const Unit (&units)[kSize],
-                  const char* example) {
-  if (GivenTwice(cfg, opt)) return -1;
+constexpr Unit kDurationUnits[] = {{"ms", 1}, {"s", 1'000}, {"m", 60'000}, {"h", 3'600'000}};
+constexpr Unit kSizeUnits[] = {{"b", 1}, {"kb", 1L << 10}, {"mb", 1L << 20}, {"gb", 1L << 30}};
+
+// Accepts only whole numbers, as operators choose a unit in which the value is whole.
+template <std::size_t kUnitCount>
+int ParseWithUnit(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result,
+                  const Unit (&units)[kUnitCount], const char* example) {
+  if (ReportRepeatedKey(cfg, opt)) return -1;
   const std::string_view text = value;
   long number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -49,25 +49,25 @@
   return (block.empty() ? "" : block + ".") + opt->name;
 }
 
-bool GivenTwice(cfg_t* cfg, cfg_opt_t* opt) {
-  if ((opt->flags & kSeen) == 0) {
-    opt->flags |= kSeen;
+bool ReportRepeatedKey(cfg_t* cfg, cfg_opt_t* opt) {
+  if ((opt->flags & kAlreadySet) == 0) {
+    opt->flags |= kAlreadySet;
     return false;
   }
   cfg_error(cfg, "%s is given twice", FullName(cfg, opt).c_str());
   return true;
 }
 
-int ParseSpan(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  return ParseWithUnit(cfg, opt, value, result, kSpans, "1500ms or 60s");
+int ParseDuration(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
+  return ParseWithUnit(cfg, opt, value, result, kDurationUnits, "1500ms or 60s");
 }
 
 int ParseSize(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  return ParseWithUnit(cfg, opt, value, result, kSizes, "64kb or 8mb");
+  return ParseWithUnit(cfg, opt, value, result, kSizeUnits, "64kb or 8mb");
 }
 
 int ParseCount(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  if (GivenTwice(cfg, opt)) return -1;
+  if (ReportRepeatedKey(cfg, opt)) return -1;
   const std::string_view text = value;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), *static_cast<long*>(result));
@@ -77,7 +77,7 @@
 }
 
 int ParseFlag(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  if (GivenTwice(cfg, opt)) return -1;
+  if (ReportRepeatedKey(cfg, opt)) return -1;
   const std::string_view text = value;
   if (text != "true" && text != "false") {
     ReportUnknownName(cfg, opt, value, "true, false");
@@ -88,12 +88,12 @@
 }
 
 int ParseFraction(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result) {
-  if (GivenTwice(cfg, opt)) return -1;
+  if (ReportRepeatedKey(cfg, opt)) return -1;
   const std::string_view text = value;
   double& fraction = *static_cast<double*>(result);
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fraction);
   if (error == std::errc() && end == text.data() + text.size() && fraction > 0 && fraction <= 1) return 0;
-  cfg_error(cfg, "%s is \"%s\": a share above 0 and up to 1 is wanted", FullName(cfg, opt).c_str(), value);
+  cfg_error(cfg, "%s is \"%s\": a fraction above 0 and up to 1 is wanted", FullName(cfg, opt).c_str(), value);
   return -1;
 }
 
@@ -101,9 +101,9 @@
   cfg_error(cfg, "%s is \"%s\": one of %s is wanted", FullName(cfg, opt).c_str(), value, names);
 }
 
-void OutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long least, long most, const char* unit) {
-  cfg_error(cfg, "%s is out of bounds: from %ld%s to %ld%s is possible", FullName(cfg, opt).c_str(), least,
-            unit, most, unit);
+void ReportOutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long min, long max, const char* unit) {
+  cfg_error(cfg, "%s is out of bounds: from %ld%s to %ld%s is allowed", FullName(cfg, opt).c_str(), min, unit,
+            max, unit);
 }
 
 }  // namespace postspread::operator_file
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -1,5 +1,5 @@
-// Values of the operator file beyond what libconfuse reads by itself: spans and sizes with units, words, and
-// bounds. Every fault is reported with its line and the key's full name.
+// Parses values of the operator file that libconfuse does not support: durations and sizes with units, enums
+// and ranges. Every error is reported with its line and the key's full name.
 #ifndef POSTSPREAD_OPERATOR_VALUES_H_
 #define POSTSPREAD_OPERATOR_VALUES_H_
 
@@ -9,30 +9,32 @@
 
 namespace postspread::operator_file {
 
-// The key's full name, as in "idempotency.keep".
+// Returns the key's full name, for example "idempotency.keep".
 std::string FullName(cfg_t* cfg, cfg_opt_t* opt);
 
-// Parsing callbacks; each leaves a long. A span ("1500ms", "60s", "2m") becomes milliseconds, a size ("8mb",
-// "64kb", "4096b") bytes. A number without its unit is an error, and so is a key that is given twice.
-int ParseSpan(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
+// Parsing callbacks. Each stores a long in `result`, unless noted otherwise: a duration ("1500ms", "60s",
+// "2m") in milliseconds, a size ("8mb", "64kb", "4096b") in bytes. A number without a unit is an error, and
+// so is a key that is given twice.
+int ParseDuration(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
 int ParseSize(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
 int ParseCount(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);
-int ParseFlag(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);      // leaves a cfg_bool_t
-int ParseFraction(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);  // above 0 up to 1; a double
+int ParseFlag(cfg_t* cfg, cfg_opt_t* opt, const char* value, void* result);  // stores a cfg_bool_t
+int ParseFraction(cfg_t* cfg, cfg_opt_t* opt, const char* value,
+                  void* result);  // above 0, up to 1; stores a double
 
-// Reports that `value` is none of `names`.
+// Reports that `value` is not one of `names`.
 void ReportUnknownName(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* names);
-// Reports a second value for a key; false where this is the first.
-bool GivenTwice(cfg_t* cfg, cfg_opt_t* opt);
+// Reports an error and returns true if the key already has a value.
+bool ReportRepeatedKey(cfg_t* cfg, cfg_opt_t* opt);
 
-// Validating callback: the value, in the unit named, lies within the bounds.
-void OutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long least, long most, const char* unit);
-template <long kLeast, long kMost, char... kUnit>
-int Within(cfg_t* cfg, cfg_opt_t* opt) {
+void ReportOutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long min, long max, const char* unit);
+// Validating callback: reports a value outside [kMin, kMax]. `kUnit` is the unit in the message.
+template <long kMin, long kMax, char... kUnit>
+int CheckRange(cfg_t* cfg, cfg_opt_t* opt) {
   static constexpr char kName[] = {kUnit..., '\0'};
   const long value = cfg_opt_getnint(opt, cfg_opt_size(opt) - 1);
-  if (value >= kLeast && value <= kMost) return 0;
-  OutOfBounds(cfg, opt, kLeast, kMost, kName);
+  if (value >= kMin && value <= kMax) return 0;
+  ReportOutOfBounds(cfg, opt, kMin, kMax, kName);
   return -1;
 }
 
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/operator/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator file: defaults, what is read, and faults that name file, line and key.
+// Decoding of the operator file: values, defaults, and errors that name file, line and key.
 #include "operator/operator_file.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 namespace postspread::operator_file {
 namespace {
 
-std::string Fault(const std::string& text) {
+std::string ErrorOf(const std::string& text) {
   try {
     Decode(text, "op.conf");
   } catch (const OperatorError& error) {
@@ -19,24 +19,24 @@
   return "";
 }
 
-TEST_CASE("an empty operator file leaves everything as it is without one") {
+TEST_CASE("an empty operator file has the same effect as none") {
   CHECK(Decode("", "op.conf") == OperatorFile{});
   CHECK_FALSE(Decode("# nothing\n", "op.conf").idempotency.enabled);
 }
 
-TEST_CASE("the file under deploy/ says the defaults and switches nothing on") {
+TEST_CASE("the operator file under deploy/ contains the defaults and enables nothing") {
   CHECK(Load(DEPLOY_DIR "/operator.conf") == OperatorFile{});
 }
 
-TEST_CASE("this platform's own file lets gatekeepers tell one another of customers, and no more") {
+TEST_CASE("the operator file of this platform enables usage broadcasts and nothing else") {
   OperatorFile expected;
   expected.usage.broadcast = true;
   CHECK(Load(DEPLOY_DIR "/fleet.conf") == expected);
-  CHECK_THAT(Fault("demand {\n  tells = true\n}\n"),
+  CHECK_THAT(ErrorOf("demand {\n  tells = true\n}\n"),
              Catch::Contains("op.conf:2") && Catch::Contains("tells"));
 }
 
-TEST_CASE("what an operator writes is what the store gets, units and all") {
+TEST_CASE("each key of the idempotency block is decoded, including its unit") {
   const idempotency::Limits limits =
       Decode(
           "idempotency {\n enabled = true\n memory = 512kb\n keep = 2m\n customer_share = 0.5\n"
@@ -57,7 +57,7 @@
   CHECK(limits.peer_silent == std::chrono::seconds(1));
 }
 
-TEST_CASE("the block of the view of the fleet is read, and its values are held against one another") {
+TEST_CASE("the membership block is decoded, and values that contradict each other are rejected") {
   const membership::Limits membership =
       Decode(
           "fleet {\n enabled = true\n name = \"south\"\n seeds = {\"10.0.0.1:7946\", \"10.0.0.2:7946\"}\n"
@@ -73,16 +73,17 @@
   CHECK(membership.period == std::chrono::milliseconds(500));
   CHECK(membership.suspicion == std::chrono::seconds(2));
   CHECK(membership.forget == std::chrono::hours(1));
-  CHECK_THAT(Fault("fleet {\n suspicion = 1s\n}"), Catch::Contains("fleet.suspicion is shorter than two of"));
-  CHECK_THAT(Fault("fleet {\n seeds = {\"10.0.0.1:1\"}\n}"),
+  CHECK_THAT(ErrorOf("fleet {\n suspicion = 1s\n}"),
+             Catch::Contains("fleet.suspicion is shorter than twice"));
+  CHECK_THAT(ErrorOf("fleet {\n seeds = {\"10.0.0.1:1\"}\n}"),
              Catch::Contains("fleet.seeds needs fleet.listen"));
-  CHECK_THAT(Fault("fleet {\n datagram = 64b\n}"),
+  CHECK_THAT(ErrorOf("fleet {\n datagram = 64b\n}"),
              Catch::Contains("op.conf:2: fleet.datagram is out of bounds"));
-  CHECK_THAT(Fault("fleet {\n name = \"\"\n}"), Catch::Contains("fleet.name is \"\": 1 to 31 bytes"));
+  CHECK_THAT(ErrorOf("fleet {\n name = \"\"\n}"), Catch::Contains("fleet.name is \"\": 1 to 31 bytes"));
 }
 
-TEST_CASE("a fault names file, line and key") {
-  const std::pair<const char*, const char*> faults[] = {
+TEST_CASE("an invalid operator file is rejected with an error that names file, line and key") {
+  const std::pair<const char*, const char*> cases[] = {
       {"idempotency {\n keep = 60\n}", "op.conf:2: idempotency.keep is \"60\": a whole number with its unit"},
       {"idempotency {\n\n memory = 1kb\n}", "op.conf:3: idempotency.memory is out of bounds: from 65536 b"},
       {"idempotency { keep = 99999999999999999h }", "op.conf:1: idempotency.keep is "},
@@ -97,11 +98,11 @@
       {"\nquotas { }", "op.conf:2: no such option 'quotas'"},
       {"idempotency {\n keep = 5s\n", "op.conf: a block is not closed"},
   };
-  for (const auto& [text, fault] : faults) {
+  for (const auto& [text, error] : cases) {
     INFO(text);
-    CHECK(Fault(text).find(fault) == 0);
+    CHECK(ErrorOf(text).find(error) == 0);
   }
-  CHECK(Fault(std::string("a\0b", 3)).find("op.conf: not a text file") == 0);
+  CHECK(ErrorOf(std::string("a\0b", 3)).find("op.conf: not a text file") == 0);
   CHECK_THROWS_WITH(Load("no-such-file.conf"), "no-such-file.conf: can't be read");
 }
 
