--- a/src/http/lines.cpp
+++ b/src/http/lines.cpp
@@ -4,18 +4,18 @@
 
 namespace postspread::http {
 
-bool LineReader::Take(std::string_view& rest, std::string_view& line) {
-  if (std::exchange(whole_, false)) line_.clear();
+bool LineReader::ReadLine(std::string_view& rest, std::string_view& line) {
+  if (std::exchange(returned_, false)) line_.clear();
   const std::size_t end = rest.find('\n');
   const std::size_t size = end == std::string_view::npos ? rest.size() : end + 1;
-  taken_ += size;
+  bytes_read_ += size;
   if (too_long()) return false;
   line_.append(rest.substr(0, size));
   rest.remove_prefix(size);
   if (end == std::string_view::npos) return false;
   line_.pop_back();
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-  whole_ = true;
+  returned_ = true;
   line = line_;
   return true;
 }
--- a/src/http/lines.h
+++ b/src/http/lines.h
@@ -1,4 +1,4 @@
-// Lines out of bytes that come in pieces: what heads of requests and of responses have in common. No I/O.
+// Splits the heads of HTTP requests and responses, which arrive in pieces, into lines. No I/O.
 #ifndef POSTSPREAD_HTTP_LINES_H_
 #define POSTSPREAD_HTTP_LINES_H_
 
@@ -10,21 +10,21 @@
 
 class LineReader {
  public:
-  explicit LineReader(std::size_t most) : most_(most) {}
+  explicit LineReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Takes bytes off the front of `rest`; true with each line that has come whole, without its end. The line
-  // holds until the next call.
-  bool Take(std::string_view& rest, std::string_view& line);
-  // More bytes have come than all lines together may have. Nothing more is taken.
-  [[nodiscard]] bool too_long() const { return taken_ > most_; }
-  // The lines from here on have `most` bytes of their own.
-  void Restart() { taken_ = 0; }
+  // Removes bytes from the front of `rest`. Returns true when a line is complete, and stores it in `line`
+  // without its line end. `line` is valid until the next call.
+  bool ReadLine(std::string_view& rest, std::string_view& line);
+  // Whether all lines together exceed the limit. ReadLine then reads nothing more.
+  [[nodiscard]] bool too_long() const { return bytes_read_ > max_bytes_; }
+  // The lines from here on have their own limit of the same size.
+  void ResetLimit() { bytes_read_ = 0; }
 
  private:
-  std::size_t most_;
-  std::size_t taken_ = 0;
-  bool whole_ = false;  // line_ was handed out
-  std::string line_;    // the part of a line that has come
+  std::size_t max_bytes_;
+  std::size_t bytes_read_ = 0;
+  bool returned_ = false;  // whether line_ was returned to the caller
+  std::string line_;       // the received part of the current line
 };
 
 }  // namespace postspread::http
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -5,7 +5,7 @@
 namespace postspread::http {
 namespace {
 
-// The characters of a token, as RFC 9110 has it.
+// Whether the text is a token as defined in RFC 9110.
 bool IsToken(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
@@ -42,19 +42,19 @@
 std::size_t RequestParser::Feed(std::string_view bytes) {
   std::string_view rest = bytes, line;
   while (!rest.empty() && !done() && !broken()) {
-    const bool whole = lines_.Take(rest, line);
+    const bool has_line = lines_.ReadLine(rest, line);
     if (lines_.too_long()) {
-      Broken("the head is too long");
-    } else if (whole) {
-      Line(line);
+      Fail("the head is too long");
+    } else if (has_line) {
+      HandleLine(line);
     }
   }
   return bytes.size() - rest.size();
 }
 
-void RequestParser::Line(std::string_view line) {
-  if (state_ == State::kLine) {
-    if (!line.empty()) RequestLine(line);  // an empty line before the request is skipped, as RFC 9112 allows
+void RequestParser::HandleLine(std::string_view line) {
+  if (state_ == State::kRequestLine) {
+    if (!line.empty()) ParseRequestLine(line);  // RFC 9112 lets a server ignore an empty line here
     return;
   }
   if (line.empty()) {
@@ -62,24 +62,24 @@
     return;
   }
   const std::size_t colon = line.find(':');
-  if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) Broken("a header can't be read");
+  if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) Fail("a header can't be read");
 }
 
-void RequestParser::RequestLine(std::string_view line) {
+void RequestParser::ParseRequestLine(std::string_view line) {
   const std::size_t first = line.find(' ');
   const std::size_t last = line.rfind(' ');
-  if (first == std::string_view::npos || last == first) return Broken("the request line has not three parts");
+  if (first == std::string_view::npos || last == first) return Fail("the request line has not three parts");
   const std::string_view version = line.substr(last + 1);
   method_ = line.substr(0, first);
   target_ = line.substr(first + 1, last - first - 1);
-  if (!IsToken(method_)) return Broken("the method can't be read");
-  if (target_.empty() || target_[0] != '/' || !IsVisible(target_)) return Broken("the path can't be read");
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return Broken("the version is not HTTP/1.1");
+  if (!IsToken(method_)) return Fail("the method can't be read");
+  if (target_.empty() || target_[0] != '/' || !IsVisible(target_)) return Fail("the path can't be read");
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail("the version is not HTTP/1.1");
   state_ = State::kHeaders;
 }
 
-void RequestParser::Broken(const char* error) {
-  state_ = State::kBroken;
+void RequestParser::Fail(const char* error) {
+  state_ = State::kMalformed;
   error_ = error;
 }
 
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -1,4 +1,4 @@
-// Incremental parser of the head of an HTTP/1.1 request, and the writer of the response to it. No I/O.
+// Parses the head of an HTTP/1.1 request incrementally, and formats the response. No I/O.
 #ifndef POSTSPREAD_HTTP_REQUEST_H_
 #define POSTSPREAD_HTTP_REQUEST_H_
 
@@ -14,30 +14,30 @@
  public:
   static constexpr std::size_t kMaxHead = std::size_t{8} * 1024;  // bytes of request line and headers
 
-  enum class State { kLine, kHeaders, kDone, kBroken };
+  enum class State { kRequestLine, kHeaders, kDone, kMalformed };
 
-  // Takes bytes as they come and returns how many were used: all, unless the head ended or is broken. A body
-  // is not read: no call has one.
+  // Parses bytes as they arrive and returns how many were used: all, unless the head ended or is malformed.
+  // Bodies are not read, as no request to the admin server has one.
   std::size_t Feed(std::string_view bytes);
 
   [[nodiscard]] bool done() const { return state_ == State::kDone; }
-  [[nodiscard]] bool broken() const { return state_ == State::kBroken; }
-  [[nodiscard]] const char* error() const { return error_; }  // where broken: what is wrong
+  [[nodiscard]] bool broken() const { return state_ == State::kMalformed; }
+  [[nodiscard]] const char* error() const { return error_; }  // the reason if broken()
   [[nodiscard]] const std::string& method() const { return method_; }
   [[nodiscard]] const std::string& target() const { return target_; }
 
  private:
-  void Line(std::string_view line);
-  void RequestLine(std::string_view line);
-  void Broken(const char* error);
+  void HandleLine(std::string_view line);
+  void ParseRequestLine(std::string_view line);
+  void Fail(const char* error);
 
-  State state_ = State::kLine;
+  State state_ = State::kRequestLine;
   const char* error_ = "";
   LineReader lines_{kMaxHead};
   std::string method_, target_;
 };
 
-// A whole response of plain text, after which the connection is closed. `allow`: empty where there is none.
+// Returns a complete plain-text response that closes the connection. An empty `allow` adds no Allow header.
 std::string Response(int status, std::string_view body, std::string_view allow = {});
 
 }  // namespace postspread::http
--- a/src/http/response.cpp
+++ b/src/http/response.cpp
@@ -32,25 +32,25 @@
   while (used < bytes.size() && !done() && !broken()) {
     const std::string_view rest = bytes.substr(used);
     if (state_ == State::kBody || state_ == State::kChunk || state_ == State::kUntilClose) {
-      const std::size_t take = state_ == State::kUntilClose ? rest.size() : std::min(left_, rest.size());
+      const std::size_t take = state_ == State::kUntilClose ? rest.size() : std::min(remaining_, rest.size());
       if (body_.size() + take > kMaxBody) {
-        state_ = State::kBroken;
+        state_ = State::kMalformed;
         break;
       }
       body_.append(rest.substr(0, take));
       used += take;
       if (state_ == State::kUntilClose) continue;
-      left_ -= take;
-      if (left_ == 0) state_ = state_ == State::kBody ? State::kDone : State::kChunkEnd;
+      remaining_ -= take;
+      if (remaining_ == 0) state_ = state_ == State::kBody ? State::kDone : State::kChunkEnd;
       continue;
     }
-    std::string_view left = rest, line;
-    const bool whole = lines_.Take(left, line);
-    used += rest.size() - left.size();
+    std::string_view unread = rest, line;
+    const bool has_line = lines_.ReadLine(unread, line);
+    used += rest.size() - unread.size();
     if (lines_.too_long()) {
-      state_ = State::kBroken;
-    } else if (whole) {
-      Line(line);
+      state_ = State::kMalformed;
+    } else if (has_line) {
+      HandleLine(line);
     }
   }
   return used;
@@ -58,31 +58,31 @@
 
 void ResponseParser::End() {
   if (state_ == State::kDone) return;
-  state_ = state_ == State::kUntilClose ? State::kDone : State::kBroken;
+  state_ = state_ == State::kUntilClose ? State::kDone : State::kMalformed;
 }
 
-void ResponseParser::Line(std::string_view line) {
+void ResponseParser::HandleLine(std::string_view line) {
   switch (state_) {
     case State::kStatus:
-      return StatusLine(line);
+      return ParseStatusLine(line);
     case State::kHeaders:
-      return line.empty() ? HeadersEnd() : Header(line);
+      return line.empty() ? FinishHeaders() : ParseHeader(line);
     case State::kChunkSize:
-      return ChunkSize(line);
+      return ParseChunkSize(line);
     case State::kChunkEnd:
-      lines_.Restart();
-      state_ = line.empty() ? State::kChunkSize : State::kBroken;
+      lines_.ResetLimit();
+      state_ = line.empty() ? State::kChunkSize : State::kMalformed;
       return;
     case State::kTrailers:
       if (line.empty()) state_ = State::kDone;
       return;
     default:
-      state_ = State::kBroken;
+      state_ = State::kMalformed;
   }
 }
 
-void ResponseParser::StatusLine(std::string_view line) {
-  state_ = State::kBroken;
+void ResponseParser::ParseStatusLine(std::string_view line) {
+  state_ = State::kMalformed;
   if (line.size() < 12 || !line.starts_with("HTTP/1.")) return;
   closes_ = line[7] == '0';
   const std::string_view code = line.substr(9, 3);
@@ -91,46 +91,46 @@
   state_ = State::kHeaders;
 }
 
-void ResponseParser::Header(std::string_view line) {
+void ResponseParser::ParseHeader(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) {
-    state_ = State::kBroken;
+    state_ = State::kMalformed;
     return;
   }
   const std::string_view name = line.substr(0, colon), value = Trim(line.substr(colon + 1));
   if (EqualsIgnoreCase(name, "content-length")) {
-    has_length_ = ToSize(value, 10, left_);
-    if (!has_length_ || left_ > kMaxBody) state_ = State::kBroken;
+    has_length_ = ToSize(value, 10, remaining_);
+    if (!has_length_ || remaining_ > kMaxBody) state_ = State::kMalformed;
   } else if (EqualsIgnoreCase(name, "transfer-encoding")) {
     chunked_ = EqualsIgnoreCase(value, "chunked");
-    if (!chunked_) state_ = State::kBroken;
+    if (!chunked_) state_ = State::kMalformed;
   } else if (EqualsIgnoreCase(name, "connection")) {
     if (EqualsIgnoreCase(value, "close")) closes_ = true;
     if (EqualsIgnoreCase(value, "keep-alive")) closes_ = false;
   }
 }
 
-void ResponseParser::HeadersEnd() {
-  if (status_ >= 100 && status_ < 200) {  // an interim answer: the real one follows
+void ResponseParser::FinishHeaders() {
+  if (status_ >= 100 && status_ < 200) {  // an interim response: the final one follows
     Reset();
   } else if (status_ == 204 || status_ == 304) {
     state_ = State::kDone;
   } else if (chunked_) {
     state_ = State::kChunkSize;
   } else if (has_length_) {
-    state_ = left_ == 0 ? State::kDone : State::kBody;
+    state_ = remaining_ == 0 ? State::kDone : State::kBody;
   } else {
     closes_ = true;
     state_ = State::kUntilClose;
   }
 }
 
-void ResponseParser::ChunkSize(std::string_view line) {
+void ResponseParser::ParseChunkSize(std::string_view line) {
   const std::string_view digits = Trim(line.substr(0, line.find(';')));
-  if (!ToSize(digits, 16, left_) || left_ > kMaxBody) {
-    state_ = State::kBroken;
+  if (!ToSize(digits, 16, remaining_) || remaining_ > kMaxBody) {
+    state_ = State::kMalformed;
   } else {
-    state_ = left_ == 0 ? State::kTrailers : State::kChunk;
+    state_ = remaining_ == 0 ? State::kTrailers : State::kChunk;
   }
 }
 
--- a/src/http/response.h
+++ b/src/http/response.h
@@ -1,4 +1,4 @@
-// Incremental parser of HTTP/1.1 responses, and the writer of the requests that they answer. No I/O.
+// Parses HTTP/1.1 responses incrementally, and formats the requests. No I/O.
 #ifndef POSTSPREAD_HTTP_RESPONSE_H_
 #define POSTSPREAD_HTTP_RESPONSE_H_
 
@@ -22,30 +22,30 @@
     kTrailers,
     kUntilClose,
     kDone,
-    kBroken
+    kMalformed
   };
 
-  // Takes bytes as they come and returns how many were used: all, unless the response ended or is broken.
+  // Parses bytes as they arrive and returns how many were used: all, unless the response ended or failed.
   std::size_t Feed(std::string_view bytes);
-  // The connection has ended. A body without a stated length ends with it.
+  // The peer closed the connection. This completes a body without a stated length.
   void End();
-  // Ready for the next response on the same connection.
+  // Prepares for the next response on the same connection.
   void Reset() { *this = ResponseParser(); }
 
   [[nodiscard]] bool done() const { return state_ == State::kDone; }
-  [[nodiscard]] bool broken() const { return state_ == State::kBroken; }
+  [[nodiscard]] bool broken() const { return state_ == State::kMalformed; }
   [[nodiscard]] int status() const { return status_; }
   [[nodiscard]] const std::string& body() const { return body_; }
-  [[nodiscard]] bool closes() const { return closes_; }  // the connection can't be used again
+  [[nodiscard]] bool closes() const { return closes_; }  // the connection can't be reused
 
  private:
-  void Line(std::string_view line);
-  void StatusLine(std::string_view line);
-  void Header(std::string_view line);
-  void HeadersEnd();
-  void ChunkSize(std::string_view line);
+  void HandleLine(std::string_view line);
+  void ParseStatusLine(std::string_view line);
+  void ParseHeader(std::string_view line);
+  void FinishHeaders();
+  void ParseChunkSize(std::string_view line);
 
-  static constexpr std::size_t kMaxHeaders = std::size_t{16} * 1024;  // bytes of status line and headers
+  static constexpr std::size_t kMaxHeaders = std::size_t{16} * 1024;  // for status line and headers
 
   State state_ = State::kStatus;
   LineReader lines_{kMaxHeaders};
@@ -53,7 +53,7 @@
   bool closes_ = false;
   bool chunked_ = false;
   bool has_length_ = false;
-  std::size_t left_ = 0;  // bytes of the body or chunk that are still to come
+  std::size_t remaining_ = 0;  // bytes of the body or chunk that have not arrived
   std::string body_;
 };
 
--- a/src/resp/frame.cpp
+++ b/src/resp/frame.cpp
@@ -7,55 +7,56 @@
 namespace postspread::resp {
 namespace {
 
-constexpr std::size_t kMaxNumber = 16;  // digits of a length
+// The maximum size of a line that contains a length, with its type byte and without its CRLF.
+constexpr std::size_t kMaxLengthLineBytes = 16;
 
-// Walks the lines and values of one message.
+// Reads the lines and values of one message in order.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : bytes_(bytes) {}
 
-  // The rest of a line, without its end. Broken at the first byte that can't be right: a line end that is not
-  // whole, or one byte too many.
-  Progress Line(std::size_t most, std::string_view& line) {
-    const std::size_t end = bytes_.find_first_of("\r\n", at_);
-    if (std::min(end, bytes_.size()) - at_ > most) return Progress::kBroken;
+  // Reads the rest of a line, without its CRLF. The line is malformed as soon as one byte can't be valid: a
+  // CR or LF outside a CRLF, or the first byte beyond `max_bytes`.
+  Progress Line(std::size_t max_bytes, std::string_view& line) {
+    const std::size_t end = bytes_.find_first_of("\r\n", offset_);
+    if (std::min(end, bytes_.size()) - offset_ > max_bytes) return Progress::kBroken;
     if (end == std::string_view::npos || (end + 1 == bytes_.size() && bytes_[end] == '\r')) {
-      need_ = bytes_.size() + 1;
+      bytes_needed_ = bytes_.size() + 1;
       return Progress::kPartial;
     }
     if (bytes_.substr(end, 2) != "\r\n") return Progress::kBroken;
-    line = bytes_.substr(at_, end - at_);
-    at_ = end + 2;
+    line = bytes_.substr(offset_, end - offset_);
+    offset_ = end + 2;
     return Progress::kWhole;
   }
 
-  // The line of an answer: its first byte tells its kind, and how long it may be.
+  // Reads a line of a reply. Its first byte, one of `kinds`, is its type and determines its maximum length.
   Progress Header(std::string_view kinds, std::string_view& line) {
-    if (at_ == bytes_.size()) return Line(kMaxLine, line);
-    const char kind = bytes_[at_];
+    if (offset_ == bytes_.size()) return Line(kMaxLineBytes, line);
+    const char kind = bytes_[offset_];
     if (kinds.find(kind) == std::string_view::npos) return Progress::kBroken;
-    return Line(kind == '$' || kind == '*' ? kMaxNumber : kMaxLine, line);
+    return Line(kind == '$' || kind == '*' ? kMaxLengthLineBytes : kMaxLineBytes, line);
   }
 
-  // A value of known length with the line end after it.
+  // Reads a value of known length and the CRLF after it.
   Progress Value(std::size_t length, std::string_view& value) {
-    if (bytes_.size() - at_ < length + 2) {
-      need_ = at_ + length + 2;
+    if (bytes_.size() - offset_ < length + 2) {
+      bytes_needed_ = offset_ + length + 2;
       return Progress::kPartial;
     }
-    if (bytes_.substr(at_ + length, 2) != "\r\n") return Progress::kBroken;
-    value = bytes_.substr(at_, length);
-    at_ += length + 2;
+    if (bytes_.substr(offset_ + length, 2) != "\r\n") return Progress::kBroken;
+    value = bytes_.substr(offset_, length);
+    offset_ += length + 2;
     return Progress::kWhole;
   }
 
-  [[nodiscard]] std::size_t at() const { return at_; }
-  [[nodiscard]] std::size_t need() const { return need_; }
+  [[nodiscard]] std::size_t offset() const { return offset_; }
+  [[nodiscard]] std::size_t bytes_needed() const { return bytes_needed_; }
 
  private:
   std::string_view bytes_;
-  std::size_t at_ = 0;
-  std::size_t need_ = 0;
+  std::size_t offset_ = 0;
+  std::size_t bytes_needed_ = 0;
 };
 
 std::optional<long> ToLength(std::string_view digits) {
@@ -65,31 +66,33 @@
   return value;
 }
 
-Progress Broken(Command& out, const char* error) {
+Progress Fail(Command& out, const char* error) {
   out.error = error;
   return Progress::kBroken;
 }
 
-// The next argument of a command: a bulk string. The body alone may be large.
+// Parses the next argument of a command, a bulk string. Only the body may be large.
 Progress ParseArgument(Cursor& cursor, std::string_view bytes, Command& out) {
-  if (cursor.at() < bytes.size() && bytes[cursor.at()] != '$') return Broken(out, "expected a bulk string");
+  if (cursor.offset() < bytes.size() && bytes[cursor.offset()] != '$')
+    return Fail(out, "expected a bulk string");
   std::string_view line;
-  Progress progress = cursor.Line(kMaxNumber, line);
-  if (progress == Progress::kBroken) return Broken(out, "invalid bulk length");
+  Progress progress = cursor.Line(kMaxLengthLineBytes, line);
+  if (progress == Progress::kBroken) return Fail(out, "invalid bulk length");
   if (progress == Progress::kPartial) return progress;
   const std::optional<long> size = ToLength(line.substr(1));
-  if (!size || *size < 0) return Broken(out, "invalid bulk length");
+  if (!size || *size < 0) return Fail(out, "invalid bulk length");
   const bool is_body = out.count == kBodyAt;
-  if (*size > static_cast<long>(is_body ? kMaxValue : kMaxWhole)) return Broken(out, "argument too long");
-  if (cursor.at() + (is_body ? 0 : static_cast<std::size_t>(*size)) > kMaxHead) {
-    return Broken(out, "command too long");
+  if (*size > static_cast<long>(is_body ? kMaxValueBytes : kMaxSmallValueBytes))
+    return Fail(out, "argument too long");
+  if (cursor.offset() + (is_body ? 0 : static_cast<std::size_t>(*size)) > kMaxHead) {
+    return Fail(out, "command too long");
   }
   progress = cursor.Value(static_cast<std::size_t>(*size), out.parts[out.count]);
-  return progress == Progress::kBroken ? Broken(out, "bulk string without its end") : progress;
+  return progress == Progress::kBroken ? Fail(out, "bulk string without its end") : progress;
 }
 
-// One part of an array: a bulk string, null, or a simple value.
-Progress ParsePart(Cursor& cursor, std::size_t most, Reply::Part& part) {
+// Parses one part of an array: a bulk string, null or a simple value.
+Progress ParsePart(Cursor& cursor, std::size_t max_bytes, Reply::Part& part) {
   std::string_view line;
   Progress progress = cursor.Header(":+-$", line);
   if (progress != Progress::kWhole) return progress;
@@ -102,31 +105,32 @@
     part.null = true;
     return Progress::kWhole;
   }
-  if (!length || *length < 0 || *length > static_cast<long>(most)) return Progress::kBroken;
+  if (!length || *length < 0 || *length > static_cast<long>(max_bytes)) return Progress::kBroken;
   return cursor.Value(static_cast<std::size_t>(*length), part.text);
 }
 
-// The value of a bulk string whose header has been read into `out.text`.
+// Parses the value of a bulk string whose header is in `out.text`.
 Progress ParseBulkReply(Cursor& cursor, Reply& out) {
   const std::optional<long> length = ToLength(out.text);
   out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kBulk;
   if (length == -1) return Progress::kWhole;
-  if (!length || *length < 0 || *length > static_cast<long>(kMaxWhole)) return Progress::kBroken;
+  if (!length || *length < 0 || *length > static_cast<long>(kMaxSmallValueBytes)) return Progress::kBroken;
   return cursor.Value(static_cast<std::size_t>(*length), out.text);
 }
 
-// The parts of an array whose header has been read into `out.text`. The first alone may be large.
+// Parses the parts of an array whose header is in `out.text`. Only the first may be large.
 Progress ParseArrayReply(Cursor& cursor, std::string_view bytes, Reply& out) {
   const std::optional<long> length = ToLength(out.text);
   out.kind = length == -1 ? Reply::Kind::kNull : Reply::Kind::kArray;
   if (length == -1) return Progress::kWhole;
   if (!length || *length < 0 || *length > static_cast<long>(kMaxParts)) return Progress::kBroken;
   for (long i = 0; i < *length; ++i) {
-    const std::size_t begin = cursor.at();
+    const std::size_t begin = cursor.offset();
     out.parts[out.count] = {};
-    const Progress progress = ParsePart(cursor, i == 0 ? kMaxValue : kMaxWhole, out.parts[out.count]);
+    const Progress progress =
+        ParsePart(cursor, i == 0 ? kMaxValueBytes : kMaxSmallValueBytes, out.parts[out.count]);
     if (progress != Progress::kWhole) return progress;
-    if (i == 0) out.first_raw = bytes.substr(begin, cursor.at() - begin);
+    if (i == 0) out.first_raw = bytes.substr(begin, cursor.offset() - begin);
     ++out.count;
   }
   return Progress::kWhole;
@@ -143,25 +147,25 @@
     out.need = 1;
     return Progress::kPartial;
   }
-  if (bytes[0] != '*') return Broken(out, "expected an array of bulk strings");
+  if (bytes[0] != '*') return Fail(out, "expected an array of bulk strings");
   Cursor cursor(bytes);
   std::string_view line;
   std::optional<long> length;
-  Progress progress = cursor.Line(kMaxNumber, line);
+  Progress progress = cursor.Line(kMaxLengthLineBytes, line);
   if (progress == Progress::kPartial) {
-    out.need = cursor.need();
+    out.need = cursor.bytes_needed();
     return progress;
   }
   if (progress == Progress::kWhole) length = ToLength(line.substr(1));
-  if (!length || *length < 0) return Broken(out, "invalid array length");
-  if (*length > static_cast<long>(kMaxParts)) return Broken(out, "too many arguments");
+  if (!length || *length < 0) return Fail(out, "invalid array length");
+  if (*length > static_cast<long>(kMaxParts)) return Fail(out, "too many arguments");
   for (long i = 0; i < *length; ++i) {
     progress = ParseArgument(cursor, bytes, out);
-    if (progress == Progress::kPartial) out.need = cursor.need();
+    if (progress == Progress::kPartial) out.need = cursor.bytes_needed();
     if (progress != Progress::kWhole) return progress;
     ++out.count;
   }
-  out.size = cursor.at();
+  out.size = cursor.offset();
   return Progress::kWhole;
 }
 
@@ -174,8 +178,8 @@
   }
   Cursor cursor(bytes);
   const auto finish = [&](Progress progress) {
-    out.need = cursor.need();
-    out.size = cursor.at();
+    out.need = cursor.bytes_needed();
+    out.size = cursor.offset();
     return progress;
   };
   std::string_view line;
@@ -211,12 +215,13 @@
   if (cursor.Header("*", line) != Progress::kWhole) return false;
   const std::optional<long> parts = ToLength(line.substr(1));
   if (!parts || *parts < 1 || *parts > static_cast<long>(kMaxParts)) return false;
-  out.at = cursor.at();
-  if (cursor.at() == bytes.size() || cursor.Header("$", line) != Progress::kWhole) return false;
+  out.at = cursor.offset();
+  if (cursor.offset() == bytes.size() || cursor.Header("$", line) != Progress::kWhole) return false;
   const std::optional<long> length = ToLength(line.substr(1));
-  if (!length || *length <= static_cast<long>(kMaxWhole) || *length > static_cast<long>(kMaxValue))
+  if (!length || *length <= static_cast<long>(kMaxSmallValueBytes) ||
+      *length > static_cast<long>(kMaxValueBytes))
     return false;
-  out.size = cursor.at() - out.at + static_cast<std::size_t>(*length) + 2;
+  out.size = cursor.offset() - out.at + static_cast<std::size_t>(*length) + 2;
   out.rest = static_cast<std::size_t>(*parts) - 1;
   return true;
 }
@@ -227,11 +232,11 @@
   Progress progress = Progress::kWhole;
   while (progress == Progress::kWhole && out.count < count) {
     out.parts[out.count] = {};
-    progress = ParsePart(cursor, kMaxWhole, out.parts[out.count]);
+    progress = ParsePart(cursor, kMaxSmallValueBytes, out.parts[out.count]);
     if (progress == Progress::kWhole) ++out.count;
   }
-  out.need = cursor.need();
-  out.size = cursor.at();
+  out.need = cursor.bytes_needed();
+  out.size = cursor.offset();
   return progress;
 }
 
--- a/src/resp/frame.h
+++ b/src/resp/frame.h
@@ -1,6 +1,6 @@
-// RESP2 messages as slices of the buffer that they stand in. Nothing is copied and nothing is kept between
-// calls: a parser looks at the bytes from the start of a message, and where they do not suffice it says how
-// many are needed at least, so that a caller need not try again before those are there.
+// Stateless parsers and writers of RESP2 messages. A parsed message consists of slices of the caller's
+// buffer; nothing is copied. Each call parses from the start of a message. For an incomplete message it
+// returns a lower bound of the bytes that it needs, so that the caller does not retry before they arrive.
 #ifndef POSTSPREAD_RESP_FRAME_H_
 #define POSTSPREAD_RESP_FRAME_H_
 
@@ -12,31 +12,31 @@
 
 namespace postspread::resp {
 
-inline constexpr std::size_t kMaxValue =
-    std::size_t{4} * 1024 * 1024;  // bytes of a body or an answer's value
-inline constexpr std::size_t kMaxWhole =
-    std::size_t{64} * 1024;  // bytes of any other bulk string; a value over this is large
-inline constexpr std::size_t kMaxHead = kMaxWhole + 4096;              // bytes of a command before its body
-inline constexpr std::size_t kMaxCommand = kMaxHead + kMaxValue + 64;  // bytes of a whole command
-inline constexpr std::size_t kBodyAt = 4;      // the part of a command that is its body
-inline constexpr std::size_t kMaxParts = 8;    // elements of an array
-inline constexpr std::size_t kMaxLine = 1024;  // bytes of a line that is not a bulk string
+// The maximum size of a command's body or of a reply's first value.
+inline constexpr std::size_t kMaxValueBytes = std::size_t{4} * 1024 * 1024;
+// The maximum size of any other bulk string. A larger value is a large value.
+inline constexpr std::size_t kMaxSmallValueBytes = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxHead = kMaxSmallValueBytes + 4096;  // bytes of a command before its body
+inline constexpr std::size_t kMaxCommand = kMaxHead + kMaxValueBytes + 64;  // bytes of a whole command
+inline constexpr std::size_t kBodyAt = 4;           // index of the body in a command's parts
+inline constexpr std::size_t kMaxParts = 8;         // elements of an array
+inline constexpr std::size_t kMaxLineBytes = 1024;  // bytes of a simple string, an error or an integer
 
 enum class Progress { kWhole, kPartial, kBroken };
 
-// A command: an array of bulk strings.
+// A command is an array of bulk strings.
 struct Command {
   std::array<std::string_view, kMaxParts> parts;
   std::size_t count = 0;
-  std::size_t size = 0;    // bytes of the whole message, with kWhole
-  std::size_t need = 0;    // bytes that must be there before another try, with kPartial
-  const char* error = "";  // what is wrong, with kBroken: the framing is lost
-  [[nodiscard]] std::string_view message() const;  // the whole message as received
+  std::size_t size = 0;    // a complete message: its bytes
+  std::size_t need = 0;    // an incomplete message: the bytes to have before parsing it again
+  const char* error = "";  // a malformed message: the reason; the framing is lost
+  [[nodiscard]] std::string_view message() const;  // the complete message as received
   const char* begin = nullptr;
 };
 Progress ParseCommand(std::string_view bytes, Command& out);
 
-// An answer: of an upstream or of the counter.
+// A reply of an upstream or of the counter.
 struct Reply {
   enum class Kind { kSimple, kError, kInteger, kBulk, kNull, kArray };
   struct Part {
@@ -44,26 +44,27 @@
     std::string_view text;
   };
   Kind kind = Kind::kNull;
-  std::string_view text;  // of all kinds but kNull and kArray
+  std::string_view text;  // the value of all kinds except kNull and kArray
   std::array<Part, kMaxParts> parts;
   std::size_t count = 0;
-  std::string_view first_raw;  // kArray: the first part with its own framing
+  std::string_view first_raw;  // kArray: the first part, framing included
   std::size_t size = 0;
   std::size_t need = 0;
 };
 Progress ParseReply(std::string_view bytes, Reply& out);
 
-// An answer that begins with a large value, of which not all need be there.
+// Describes an array reply that begins with a large value, which need not have arrived completely.
 struct LargeValue {
-  std::size_t at = 0;    // where the value's own framing begins
-  std::size_t size = 0;  // its bytes, framing included
-  std::size_t rest = 0;  // parts of the answer after it
+  std::size_t at = 0;    // offset of the value's framing
+  std::size_t size = 0;  // the value's bytes, framing included
+  std::size_t rest = 0;  // number of parts after the value
 };
+// Returns false also if the value's header has not arrived completely.
 bool BeginsLarge(std::string_view bytes, LargeValue& out);
-// The parts of an answer that stand behind its first.
+// Parses the `count` parts of an array reply that follow its first.
 Progress ParseParts(std::string_view bytes, std::size_t count, Reply& out);
 
-// Writers append to `out`.
+// The writers append to `out`.
 void AppendBulk(std::string_view value, std::string& out);
 void AppendCommand(std::initializer_list<std::string_view> parts, std::string& out);
 
--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -10,11 +10,11 @@
 namespace postspread::resp {
 namespace {
 
-constexpr std::size_t kMaxExtras = 1024;          // bytes of names and values
-constexpr std::size_t kMaxId = 128;               // bytes of a request's id
-constexpr std::uint64_t kCustomers = 1ULL << 33;  // customers are numbered below this
+constexpr std::size_t kMaxFieldsBytes = 1024;         // bytes of a command's names and values
+constexpr std::size_t kMaxIdBytes = 128;              // bytes of a request's id
+constexpr std::uint64_t kCustomerLimit = 1ULL << 33;  // customer ids are below this number
 constexpr long kMaxTimeoutMs = 24L * 3600 * 1000;
-// Elements of a command: its verb, customer, id, names and values; and a write's body.
+// The numbers of parts in a command: verb, customer, id, and names and values; a write also has a body.
 constexpr std::size_t kReadParts = 4;
 constexpr std::size_t kWriteParts = 5;
 
@@ -24,16 +24,16 @@
   return error == std::errc() && end == text.data() + text.size() && !text.empty();
 }
 
-bool IsCustomer(std::string_view text) {
+bool IsCustomerId(std::string_view text) {
   const auto is_hex = [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); };
   if (text.size() != 16 || !std::all_of(text.begin(), text.end(), is_hex)) return false;
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number, 16);
-  return number < kCustomers;
+  return number < kCustomerLimit;
 }
 
-// Takes the next of the items that `separator` divides.
-std::string_view Next(std::string_view& rest, char separator) {
+// Removes the next item, up to `separator`, from `rest` and returns it.
+std::string_view NextItem(std::string_view& rest, char separator) {
   const std::size_t end = std::min(rest.find(separator), rest.size());
   const std::string_view item = rest.substr(0, end);
   rest.remove_prefix(std::min(rest.size(), end + 1));
@@ -42,44 +42,44 @@
 
 }  // namespace
 
-EncodedRequest::EncodedRequest(std::string_view message, std::string_view extras, std::string_view timeout)
+EncodedRequest::EncodedRequest(std::string_view message, std::string_view fields, std::string_view timeout)
     : message_(std::make_shared<const std::string>(message)),
-      extras_at_(static_cast<std::size_t>(extras.data() - message.data())),
-      extras_size_(extras.size()),
-      timeout_at_(static_cast<std::size_t>(timeout.data() - message.data())),
+      fields_offset_(static_cast<std::size_t>(fields.data() - message.data())),
+      fields_size_(fields.size()),
+      timeout_offset_(static_cast<std::size_t>(timeout.data() - message.data())),
       timeout_size_(timeout.size()) {
-  length_at_ = message_->rfind('$', extras_at_) + 1;
+  length_offset_ = message_->rfind('$', fields_offset_) + 1;
 }
 
-void EncodedRequest::RenderHead(std::chrono::milliseconds wait, std::string& out) const {
+void EncodedRequest::RenderHead(std::chrono::milliseconds time_left, std::string& out) const {
   std::array<char, 24> digits;
-  const auto* digits_end = std::to_chars(digits.data(), digits.data() + digits.size(), wait.count()).ptr;
+  const auto* digits_end = std::to_chars(digits.data(), digits.data() + digits.size(), time_left.count()).ptr;
   const std::string_view timeout(digits.data(), static_cast<std::size_t>(digits_end - digits.data()));
   const std::string_view message = *message_;
-  out += message.substr(0, length_at_);
-  out += std::to_string(extras_size_ - timeout_size_ + timeout.size());
+  out += message.substr(0, length_offset_);
+  out += std::to_string(fields_size_ - timeout_size_ + timeout.size());
   out += "\r\n";
-  out += message.substr(extras_at_, timeout_at_ - extras_at_);
+  out += message.substr(fields_offset_, timeout_offset_ - fields_offset_);
   out += timeout;
 }
 
 std::string_view EncodedRequest::tail() const {
-  return std::string_view(*message_).substr(timeout_at_ + timeout_size_);
+  return std::string_view(*message_).substr(timeout_offset_ + timeout_size_);
 }
 
 namespace {
 
-constexpr const char kGivenTwice[] = "name given twice";
+constexpr const char kDuplicateName[] = "name given twice";
 
-// Decodes a command's names and values. Each method returns what is wrong, or null.
+// Decodes a command's fields, its names and values. Each method returns the error text, or null on success.
 class FieldDecoder {
  public:
   FieldDecoder(const Vocabulary& vocabulary, DecodedRequest& out) : vocabulary_(vocabulary), out_(out) {}
 
-  // Names that are not in the table are skipped.
+  // Fields whose names are not in kFields are ignored.
   const char* DecodeAll(std::string_view fields) {
     while (!fields.empty()) {
-      const std::string_view item = Next(fields, ',');
+      const std::string_view item = NextItem(fields, ',');
       const std::size_t equals = item.find('=');
       if (equals == std::string_view::npos || equals == 0) return "bad names and values";
       if (const char* error = DecodeField(item.substr(0, equals), item.substr(equals + 1))) return error;
@@ -94,7 +94,7 @@
     return nullptr;
   }
 
-  // Whether command and key fit the class. Only once nothing is missing.
+  // Checks the command and the key against the class. Requires that FindMissing returned null.
   const char* CheckClass() {
     if (class_->is_safe == out_.request.is_write) return "wrong command for this class";
     if (class_->is_keyed && key_.empty()) return "k is missing";
@@ -104,15 +104,15 @@
 
  private:
   struct Field {
-    std::string_view name;  // on the wire
+    std::string_view name;  // as in the command
     const char* (FieldDecoder::*decode)(std::string_view value);
-    const char* missing;  // the error where it is absent; null: it may be
+    const char* missing;  // the error if the field is absent; null: the field is optional
   };
 
   const char* DecodeField(std::string_view name, std::string_view value) {
     for (std::size_t i = 0; i < kFieldCount; ++i) {
       if (kFields[i].name != name) continue;
-      if (seen_[i]) return kGivenTwice;
+      if (seen_[i]) return kDuplicateName;
       seen_[i] = !value.empty();
       return (this->*kFields[i].decode)(value);
     }
@@ -170,7 +170,7 @@
     return nullptr;
   }
 
-  // In the order in which a missing one is reported.
+  // Missing fields are reported in this order.
   static constexpr std::size_t kFieldCount = 8;
   static constexpr std::array<Field, kFieldCount> kFields = {
       {{"c", &FieldDecoder::DecodeClass, "c is missing"},
@@ -196,11 +196,11 @@
   const bool is_write = verb == "API.WRITE";
   if (!is_write && verb != "API.READ") return "unknown command";
   if (command.count != (is_write ? kWriteParts : kReadParts)) return "wrong number of arguments";
-  if (!IsCustomer(command.parts[1])) return "bad customer";
-  if (command.parts[2].empty() || command.parts[2].size() > kMaxId) return "bad id";
+  if (!IsCustomerId(command.parts[1])) return "bad customer";
+  if (command.parts[2].empty() || command.parts[2].size() > kMaxIdBytes) return "bad id";
   out.id = command.parts[2];
   out.extras = command.parts[3];
-  if (out.extras.size() > kMaxExtras) return "names and values too long";
+  if (out.extras.size() > kMaxFieldsBytes) return "names and values too long";
   out.timeout = {};
   out.request = Request{.customer = command.parts[1], .is_write = is_write};
 
@@ -222,7 +222,7 @@
       {"qps", &load.per_second},        {"throughput", &load.per_second},
       {"eps", &load.errors_per_second}, {"errors_per_s", &load.errors_per_second}};
   while (!text.empty()) {
-    const std::string_view item = Next(text, ',');
+    const std::string_view item = NextItem(text, ',');
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos) continue;
     double value = 0;
@@ -237,7 +237,7 @@
 ReportedUsage DecodeUse(std::string_view text) {
   ReportedUsage use;
   while (!text.empty()) {
-    const std::string_view item = Next(text, ',');
+    const std::string_view item = NextItem(text, ',');
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos) continue;
     const std::string_view name = item.substr(0, equals);
@@ -253,14 +253,14 @@
 }
 
 void DecodeErrorTail(std::string_view line, ReportedUsage& use, UpstreamLoad& load) {
-  Next(line, ' ');
+  NextItem(line, ' ');
   while (!line.empty()) {
-    const std::string_view item = Next(line, ' ');
+    const std::string_view item = NextItem(line, ' ');
     const ReportedUsage reported = DecodeUse(item);
     if (reported.percent >= 0) use.percent = reported.percent;
     if (reported.units > 0) use.units = reported.units;
     use.unreadable |= reported.unreadable;
-    if (line.empty()) load = DecodeLoad(item);  // it stands last
+    if (line.empty()) load = DecodeLoad(item);  // a load report is the last item
   }
 }
 
--- a/src/resp/request.h
+++ b/src/resp/request.h
@@ -1,4 +1,4 @@
-// A client's command into an Request, and the form in which it is passed on to an upstream.
+// Decodes a client's command into a Request, and encodes the command that is forwarded to an upstream.
 #ifndef POSTSPREAD_RESP_REQUEST_H_
 #define POSTSPREAD_RESP_REQUEST_H_
 
@@ -14,12 +14,12 @@
 
 namespace postspread::resp {
 
-// The names and bounds that a command is checked against.
+// The names and bounds that commands are validated against.
 struct Vocabulary {
   struct Class {
     std::string name;
-    bool is_safe = true;    // asked for by API.READ; others by API.WRITE
-    bool is_keyed = false;  // must carry a key
+    bool is_safe = true;    // true: its requests are API.READ, else API.WRITE
+    bool is_keyed = false;  // its requests must have an idempotency key
   };
   std::vector<Class> classes;
   std::vector<std::string> plans;
@@ -27,44 +27,45 @@
   double max_units = 1.0;
 };
 
-// A command that outlives the buffer it came in: all of it as received, but for the time that it tells.
+// Owns a copy of a received command. Encodes it for an upstream, unchanged except for its timeout (field d).
 class EncodedRequest {
  public:
   EncodedRequest() = default;
-  // `extras` and `patience` are slices of `message`; `patience` holds the digits of d.
-  EncodedRequest(std::string_view message, std::string_view extras, std::string_view timeout);
+  // `fields` and `timeout` are slices of `message`; `timeout` contains the digits of field d.
+  EncodedRequest(std::string_view message, std::string_view fields, std::string_view timeout);
 
-  // Appends the command up to and with `wait` in the place of the time that it named; the tail follows.
-  void RenderHead(std::chrono::milliseconds wait, std::string& out) const;
+  // Appends the command up to its timeout, and `time_left` in place of it. The caller appends tail().
+  void RenderHead(std::chrono::milliseconds time_left, std::string& out) const;
   [[nodiscard]] std::string_view tail() const;
-  // Holds what tail() shows.
+  // Owns the bytes of tail().
   [[nodiscard]] const std::shared_ptr<const std::string>& text() const { return message_; }
   [[nodiscard]] std::size_t size() const { return message_ ? message_->size() : 0; }
 
  private:
   std::shared_ptr<const std::string> message_;
-  std::size_t length_at_ = 0;  // of the header of the extras, behind its '$'
-  std::size_t extras_at_ = 0, extras_size_ = 0;
-  std::size_t timeout_at_ = 0, timeout_size_ = 0;
+  std::size_t length_offset_ = 0;  // offset of the length of the fields' bulk string, after its '$'
+  std::size_t fields_offset_ = 0, fields_size_ = 0;
+  std::size_t timeout_offset_ = 0, timeout_size_ = 0;
 };
 
 struct DecodedRequest {
-  Request request;  // slices of the command
+  Request request;  // its views are slices of the command
   std::string_view id;
-  std::string_view extras;   // the names and values
-  std::string_view timeout;  // the digits of d in them
+  std::string_view extras;   // the command's fields: names and values
+  std::string_view timeout;  // the digits of field d
 };
 
-// Returns what is wrong with the command, or null where it is sound.
+// Returns the error text if the command is invalid, else null.
 const char* DecodeRequest(const Command& command, const Vocabulary& vocabulary, DecodedRequest& out);
 
-// The load report of an answer, or of the end of an error line. Fields that are not known are skipped.
+// Decodes the load report of a reply or of the end of an error line. Unknown fields are ignored, and so are
+// values that are not finite numbers of at least 0.
 UpstreamLoad DecodeLoad(std::string_view text);
 
-// The figures on use of an answer, such as `used=37,cost=4`. Other names are skipped.
+// Decodes the usage values of a reply, for example `used=37,cost=4`. Other names are ignored.
 ReportedUsage DecodeUse(std::string_view text);
 
-// What stands in an error line behind its first word: the figures on use, the load report, both or neither.
+// Decodes an error line after its first word, which contains usage values, a load report, both or neither.
 void DecodeErrorTail(std::string_view line, ReportedUsage& use, UpstreamLoad& load);
 
 }  // namespace postspread::resp
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parser, whole, cut and given garbage.
+// The HTTP parsers, given complete, split, malformed and random input.
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -10,7 +10,7 @@
 namespace {
 
 // Feeds `bytes` in random pieces; returns how many were used.
-std::size_t FeedCut(ResponseParser& parser, std::string_view bytes, std::mt19937& random) {
+std::size_t FeedInPieces(ResponseParser& parser, std::string_view bytes, std::mt19937& random) {
   std::size_t used = 0;
   while (used < bytes.size() && !parser.done() && !parser.broken()) {
     const std::size_t size = std::min<std::size_t>(1 + random() % 9, bytes.size() - used);
@@ -19,7 +19,7 @@
   return used;
 }
 
-TEST_CASE("responses of each form are read however they are cut") {
+TEST_CASE("responses of each form that arrive in parts are parsed") {
   const std::string forms[] = {
       "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nhello world",
       "HTTP/1.1 200 OK\ncontent-length:11\n\nhello world",
@@ -30,7 +30,7 @@
   for (const std::string& form : forms) {
     for (int round = 0; round < 50; ++round) {
       ResponseParser parser;
-      CHECK(FeedCut(parser, form + "HTTP", random) == form.size());
+      CHECK(FeedInPieces(parser, form + "HTTP", random) == form.size());
       REQUIRE(parser.done());
       CHECK(parser.status() == 200);
       CHECK(parser.body() == "hello world");
@@ -39,7 +39,7 @@
   }
 }
 
-TEST_CASE("a body without a length ends with the connection") {
+TEST_CASE("a body without a stated length is complete when the connection ends") {
   ResponseParser parser;
   parser.Feed("HTTP/1.1 503 Busy\r\n\r\nlater");
   CHECK_FALSE(parser.done());
@@ -50,7 +50,7 @@
   CHECK(parser.closes());
 }
 
-TEST_CASE("a cut response and one that is none are broken") {
+TEST_CASE("truncated and malformed responses are rejected") {
   ResponseParser parser;
   parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
   parser.End();
@@ -67,19 +67,19 @@
   CHECK(parser.broken());
 }
 
-TEST_CASE("random garbage is used up, ends or is broken") {
+TEST_CASE("random input is used completely, or ends a response, or is rejected") {
   std::mt19937 random(5);
   const std::string alphabet = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nchunked:;0123456789abcdef";
   for (int round = 0; round < 5'000; ++round) {
     std::string bytes = round % 2 == 0 ? "HTTP/1.1 200 OK\r\n" : "";
     for (std::size_t i = random() % 80; i > 0; --i) bytes += alphabet[random() % alphabet.size()];
     ResponseParser parser;
-    const std::size_t used = FeedCut(parser, bytes, random);
+    const std::size_t used = FeedInPieces(parser, bytes, random);
     CHECK((used == bytes.size() || parser.done() || parser.broken()));
   }
 }
 
-TEST_CASE("a request's head is read however it is cut, and no further") {
+TEST_CASE("a request's head that arrives in parts is parsed, and nothing after it is used") {
   std::mt19937 random(7);
   for (int round = 0; round < 200; ++round) {
     const std::string head = round % 2 == 0 ? "PUT /v1/gatekeeper/drain HTTP/1.1\r\nHost: a\r\nX-Y: \r\n\r\n"
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("what is no request is broken, and says why") {
+TEST_CASE("malformed requests are rejected with an error") {
   for (const char* bytes : {"GET\r\n", "GET /\r\n", "GET / x HTTP/1.1\r\n", "GET nowhere HTTP/1.1\r\n",
                             "GET / HTTP/2.0\r\n", "G(T / HTTP/1.1\r\n", "GET /\x01 HTTP/1.1\r\n",
                             "GET / HTTP/1.1\r\nno colon\r\n", "GET / HTTP/1.1\r\n folded: x\r\n", "*1\r\n"}) {
@@ -112,7 +112,7 @@
   CHECK(parser.broken());
 }
 
-TEST_CASE("a response of ours is read by our own client, and tells what is allowed") {
+TEST_CASE("a formatted response has the Allow header and is parsed by the response parser") {
   const std::string response = Response(405, "takes PUT\n", "PUT");
   CHECK(response.find("\r\nAllow: PUT\r\n") != std::string::npos);
   ResponseParser parser;
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -1,4 +1,4 @@
-// The RESP parsers and what a client's command is checked for.
+// The RESP parsers, and the decoding and validation of clients' commands.
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -12,37 +12,40 @@
 
 using std::chrono::milliseconds;
 
-Vocabulary Words() {
+Vocabulary TestVocabulary() {
   return {.classes = {{"lookup", true, false}, {"order", false, true}},
           .plans = {"team"},
           .gateways = 3,
           .max_units = 4};
 }
 
-std::string Message(std::initializer_list<std::string_view> parts) {
+std::string EncodeCommand(std::initializer_list<std::string_view> parts) {
   std::string out;
   AppendCommand(parts, out);
   return out;
 }
 
 const char* const kCustomer = "00000000b4d65521";
-const char* const kExtras = "c=lookup,t=team,d=480,units=2,spread=3,first=1";
+const char* const kFields = "c=lookup,t=team,d=480,units=2,spread=3,first=1";
 
-std::string Read(std::string_view extras) { return Message({"API.READ", kCustomer, "9b1f", extras}); }
+std::string ReadCommand(std::string_view fields) {
+  return EncodeCommand({"API.READ", kCustomer, "9b1f", fields});
+}
 
-// What is wrong with a whole message; empty: nothing.
-std::string Fault(const std::string& message) {
+// Returns the error of a complete message, or an empty text if it is valid.
+std::string ErrorOf(const std::string& message) {
   Command command;
   REQUIRE(ParseCommand(message, command) == Progress::kWhole);
   DecodedRequest request;
-  const char* error = DecodeRequest(command, Words(), request);
+  const char* error = DecodeRequest(command, TestVocabulary(), request);
   return error == nullptr ? "" : error;
 }
 
-TEST_CASE("a command is read however it is cut, and asks for no more than it needs") {
-  const std::string message = Message({"API.WRITE", kCustomer, "9b1f",
-                                       "c=order,t=team,d=480,k=5c,units=1,spread=1,first=0", "a\r\nb"}) +
-                              "*1\r\n";
+TEST_CASE("a command that arrives in parts is parsed, and the parser requests no byte beyond its end") {
+  const std::string message =
+      EncodeCommand(
+          {"API.WRITE", kCustomer, "9b1f", "c=order,t=team,d=480,k=5c,units=1,spread=1,first=0", "a\r\nb"}) +
+      "*1\r\n";
   for (std::size_t cut = 0; cut <= message.size(); ++cut) {
     Command command;
     const Progress progress = ParseCommand(std::string_view(message).substr(0, cut), command);
@@ -59,7 +62,7 @@
   }
 }
 
-TEST_CASE("what is no command loses the framing") {
+TEST_CASE("bytes that are not a command are rejected with an error") {
   const auto error = [](std::string_view bytes) {
     Command command;
     return ParseCommand(bytes, command) == Progress::kBroken ? std::string(command.error) : "";
@@ -76,7 +79,7 @@
   CHECK(error("*2\r\n$65536\r\n" + std::string(65536, 'x') + "\r\n$65536\r\n") == "command too long");
 }
 
-TEST_CASE("replies are read however they are cut") {
+TEST_CASE("replies that arrive in parts are parsed") {
   const std::string message = "*3\r\n$5\r\nva\r\nl\r\n$-1\r\n$25\r\nutil=0.61,latency_ms=14.5\r\n";
   for (std::size_t cut = 0; cut < message.size(); ++cut) {
     Reply reply;
@@ -100,7 +103,7 @@
   CHECK(ParseReply("$99999999\r\n", reply) == Progress::kBroken);
 }
 
-TEST_CASE("a reply that can't be read ends at its first bad byte") {
+TEST_CASE("a malformed reply is rejected at its first invalid byte") {
   for (const char* bytes :
        {"~", "\r", "-ERR\n", "+a\rb", "$123456789012345678", "*3\r\n~", "*1\r\n$2\r\nabcd"}) {
     Reply reply;
@@ -109,40 +112,41 @@
   }
 }
 
-TEST_CASE("random garbage never reads past its end nor stalls") {
+TEST_CASE("random input is never read past its end, and an incomplete message requests more bytes") {
   std::mt19937 random(17);
   const std::string alphabet = "*$+-:0123456789\r\n\r\n\r\nAPIab=,";
   for (int round = 0; round < 20'000; ++round) {
     std::string bytes;
     const std::size_t size = random() % 60;
     for (std::size_t i = 0; i < size; ++i) bytes += alphabet[random() % alphabet.size()];
-    if (round % 2 == 0) bytes = Read(kExtras).replace(random() % 40, 1, bytes);
-    const std::vector<char> exact(bytes.begin(), bytes.end());  // so that a sanitizer sees each end
+    if (round % 2 == 0) bytes = ReadCommand(kFields).replace(random() % 40, 1, bytes);
+    // The allocation has the exact size, so that a sanitizer detects reads past its end.
+    const std::vector<char> exact(bytes.begin(), bytes.end());
     const std::string_view view(exact.data(), exact.size());
     Command command;
     const Progress progress = ParseCommand(view, command);
     if (progress == Progress::kWhole) {
       REQUIRE(command.size <= view.size());
       DecodedRequest request;
-      if (command.count > 0 && DecodeRequest(command, Words(), request) == nullptr) {
+      if (command.count > 0 && DecodeRequest(command, TestVocabulary(), request) == nullptr) {
         REQUIRE(request.request.units <= 4);
       }
     } else if (progress == Progress::kPartial) {
       REQUIRE(command.need > view.size());
     }
     Reply reply;
-    const Progress answer = ParseReply(view, reply);
-    if (answer == Progress::kWhole) REQUIRE(reply.size <= view.size());
-    if (answer == Progress::kPartial) REQUIRE(reply.need > view.size());
+    const Progress reply_progress = ParseReply(view, reply);
+    if (reply_progress == Progress::kWhole) REQUIRE(reply.size <= view.size());
+    if (reply_progress == Progress::kPartial) REQUIRE(reply.need > view.size());
   }
 }
 
-TEST_CASE("a sound request becomes an envelope") {
-  const std::string message = Read("c=lookup,t=team,d=480,units=2.5,spread=3,first=1,r=1,later=x");
+TEST_CASE("a valid command is decoded into a request") {
+  const std::string message = ReadCommand("c=lookup,t=team,d=480,units=2.5,spread=3,first=1,r=1,later=x");
   Command command;
   REQUIRE(ParseCommand(message, command) == Progress::kWhole);
   DecodedRequest request;
-  REQUIRE(DecodeRequest(command, Words(), request) == nullptr);
+  REQUIRE(DecodeRequest(command, TestVocabulary(), request) == nullptr);
   CHECK(request.request.class_name == "lookup");
   CHECK(request.request.plan == "team");
   CHECK(request.request.customer == kCustomer);
@@ -154,17 +158,18 @@
   CHECK_FALSE(request.request.is_write);
 }
 
-TEST_CASE("what is wrong with a request is said") {
-  CHECK(Fault(Read(kExtras)) == "");
-  CHECK(Fault(Message({"GET", "x"})) == "unknown command");
-  CHECK(Fault(Message({"API.READ", kCustomer, "9b1f"})) == "wrong number of arguments");
-  CHECK(Fault(Message({"API.READ", "0000000200000000", "9b1f", kExtras})) == "bad customer");
-  CHECK(Fault(Message({"API.READ", "b4d65521", "9b1f", kExtras})) == "bad customer");
-  CHECK(Fault(Message({"API.READ", kCustomer, "", kExtras})) == "bad id");
-  CHECK(Fault(Message({"API.WRITE", kCustomer, "1", kExtras, "b"})) == "wrong command for this class");
-  CHECK(Fault(Message({"API.WRITE", kCustomer, "1", "c=order,t=team,d=9,units=1,spread=1,first=0", "b"})) ==
-        "k is missing");
-  const std::vector<std::pair<std::string, std::string>> faults = {
+TEST_CASE("an invalid command is rejected with an error that names the cause") {
+  CHECK(ErrorOf(ReadCommand(kFields)) == "");
+  CHECK(ErrorOf(EncodeCommand({"GET", "x"})) == "unknown command");
+  CHECK(ErrorOf(EncodeCommand({"API.READ", kCustomer, "9b1f"})) == "wrong number of arguments");
+  CHECK(ErrorOf(EncodeCommand({"API.READ", "0000000200000000", "9b1f", kFields})) == "bad customer");
+  CHECK(ErrorOf(EncodeCommand({"API.READ", "b4d65521", "9b1f", kFields})) == "bad customer");
+  CHECK(ErrorOf(EncodeCommand({"API.READ", kCustomer, "", kFields})) == "bad id");
+  CHECK(ErrorOf(EncodeCommand({"API.WRITE", kCustomer, "1", kFields, "b"})) ==
+        "wrong command for this class");
+  CHECK(ErrorOf(EncodeCommand({"API.WRITE", kCustomer, "1", "c=order,t=team,d=9,units=1,spread=1,first=0",
+                               "b"})) == "k is missing");
+  const std::vector<std::pair<std::string, std::string>> cases = {
       {"", "c is missing"},
       {"c=lookup,t=team,units=2,spread=3,first=1", "d is missing"},
       {"c=lookup,t=team,d=0,units=2,spread=3,first=1", "bad d"},
@@ -180,29 +185,29 @@
       {"c=lookup,t=team,d=480,units=2,spread=3", "first is missing"},
       {"lookup", "bad names and values"},
       {std::string(1100, 'x'), "names and values too long"}};
-  for (const auto& [extras, fault] : faults) CHECK(Fault(Read(extras)) == fault);
+  for (const auto& [fields, error] : cases) CHECK(ErrorOf(ReadCommand(fields)) == error);
 }
 
-TEST_CASE("a letter passes on all as received but for the time that it tells") {
-  for (const std::string extras : {"d=5,c=order,t=team,k=5c,units=1,spread=1,first=0",
+TEST_CASE("an encoded request equals the received command except for its timeout") {
+  for (const std::string fields : {"d=5,c=order,t=team,k=5c,units=1,spread=1,first=0",
                                    "c=order,t=team,k=d=5,units=1,spread=1,first=0,d=4800"}) {
-    const std::string message = Message({"API.WRITE", kCustomer, "$9", extras, "$3\r\nd=1"});
+    const std::string message = EncodeCommand({"API.WRITE", kCustomer, "$9", fields, "$3\r\nd=1"});
     Command command;
     REQUIRE(ParseCommand(message, command) == Progress::kWhole);
     DecodedRequest request;
-    REQUIRE(DecodeRequest(command, Words(), request) == nullptr);
+    REQUIRE(DecodeRequest(command, TestVocabulary(), request) == nullptr);
     const EncodedRequest encoded(command.message(), request.extras, request.timeout);
     std::string out;
     encoded.RenderHead(milliseconds(371), out);
     out += encoded.tail();
-    std::string expected = extras;
-    expected.replace(extras.rfind(extras.front() == 'd' ? "d=5" : "d=4800") + 2,
-                     extras.front() == 'd' ? 1 : 4, "371");
-    CHECK(out == Message({"API.WRITE", kCustomer, "$9", expected, "$3\r\nd=1"}));
+    std::string expected = fields;
+    expected.replace(fields.rfind(fields.front() == 'd' ? "d=5" : "d=4800") + 2,
+                     fields.front() == 'd' ? 1 : 4, "371");
+    CHECK(out == EncodeCommand({"API.WRITE", kCustomer, "$9", expected, "$3\r\nd=1"}));
   }
 }
 
-TEST_CASE("load reports are read by either set of names, and odd ones skipped") {
+TEST_CASE("load reports are decoded under both sets of names, and invalid values are ignored") {
   const UpstreamLoad load = DecodeLoad("inflight=7,queue=2,utilization=0.61,recent_ms=x,eps=-1,new=3,,=");
   CHECK(load.outstanding == 7);
   CHECK(load.queue == 2);
@@ -211,7 +216,7 @@
   CHECK(load.errors_per_second < 0);
 }
 
-TEST_CASE("figures on use are read from answers and error lines, and odd ones skipped") {
+TEST_CASE("usage values are decoded from replies and error lines, and invalid ones are ignored") {
   const ReportedUsage use = DecodeUse("used=37,cost=4,new=1");
   CHECK(use.percent == 37);
   CHECK(use.units == 4);
@@ -220,10 +225,10 @@
   CHECK((odd.percent < 0 && odd.units == 0 && odd.unreadable));
   const ReportedUsage below = DecodeUse("used=5,cost=-4");
   CHECK((below.percent == 5 && below.units == 0 && below.unreadable));
-  ReportedUsage told;
+  ReportedUsage failed;
   UpstreamLoad load;
-  DecodeErrorTail("ERR failed used=140,cost=2 util=0.5", told, load);
-  CHECK((told.percent == 140 && told.units == 2 && load.utilization == 0.5));
+  DecodeErrorTail("ERR failed used=140,cost=2 util=0.5", failed, load);
+  CHECK((failed.percent == 140 && failed.units == 2 && load.utilization == 0.5));
   ReportedUsage busy;
   DecodeErrorTail("BUSY used=0", busy, load);
   CHECK(busy.percent == 0);
@@ -238,34 +243,36 @@
 TEST_CASE("only a command's body may be large") {
   const std::string head = "*5\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$1\r\nd\r\n";
   Command command;
-  const std::string whole = head + Bulk(kMaxValue);
+  const std::string whole = head + Bulk(kMaxValueBytes);
   CHECK(ParseCommand(whole, command) == Progress::kWhole);
-  CHECK(command.parts[4].size() == kMaxValue);
+  CHECK(command.parts[4].size() == kMaxValueBytes);
   CHECK(command.size == whole.size());
   CHECK(ParseCommand(head + "$4194305\r\n", command) == Progress::kBroken);
   CHECK(ParseCommand("*5\r\n$65537\r\n", command) == Progress::kBroken);
 }
 
-TEST_CASE("an answer that begins with a large value is told by its header alone, however it is cut") {
+TEST_CASE(
+    "a reply that begins with a large value is recognized once its header is complete, wherever it is "
+    "split") {
   LargeValue large;
-  const std::string answer = "*3\r\n" + Bulk(100'000) + "$-1\r\n$9\r\nutil=0.25\r\n";
+  const std::string message = "*3\r\n" + Bulk(100'000) + "$-1\r\n$9\r\nutil=0.25\r\n";
   const std::size_t header = std::string("*3\r\n$100000\r\n").size();
-  for (std::size_t size = 0; size < header; ++size) CHECK_FALSE(BeginsLarge(answer.substr(0, size), large));
-  for (const std::size_t size : {header, header + 1, std::size_t(4'000), answer.size()}) {
-    REQUIRE(BeginsLarge(answer.substr(0, size), large));
+  for (std::size_t size = 0; size < header; ++size) CHECK_FALSE(BeginsLarge(message.substr(0, size), large));
+  for (const std::size_t size : {header, header + 1, std::size_t(4'000), message.size()}) {
+    REQUIRE(BeginsLarge(message.substr(0, size), large));
     CHECK(large.at == 4);
     CHECK(large.size == Bulk(100'000).size());
     CHECK(large.rest == 2);
   }
   Reply rest;
-  const std::string behind = answer.substr(large.at + large.size);
-  for (std::size_t size = 0; size < behind.size(); ++size) {
-    REQUIRE(ParseParts(behind.substr(0, size), large.rest, rest) == Progress::kPartial);
+  const std::string remainder = message.substr(large.at + large.size);
+  for (std::size_t size = 0; size < remainder.size(); ++size) {
+    REQUIRE(ParseParts(remainder.substr(0, size), large.rest, rest) == Progress::kPartial);
     CHECK(rest.need > size);
   }
-  const std::string more = behind + "x";
+  const std::string more = remainder + "x";
   REQUIRE(ParseParts(more, large.rest, rest) == Progress::kWhole);
-  CHECK(rest.size == behind.size());
+  CHECK(rest.size == remainder.size());
   CHECK(rest.parts[1].text == "util=0.25");
   CHECK(ParseParts("x", 1, rest) == Progress::kBroken);
   for (const char* other :
