--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The gateway's program: command line, configuration files, signals and exit codes.
+// The gateway's entry point: command line, configuration files, signals and exit codes.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -26,7 +26,7 @@
 namespace net = postspread::net;
 namespace operator_file = postspread::operator_file;
 
-constexpr int kExitFailure = 1;  // can't start, or can't go on
+constexpr int kExitFailure = 1;  // the gateway can't start or can't continue
 constexpr int kExitConfig = 2;   // the configuration is invalid
 
 const char* ReadVariable(const char* name) { return std::getenv(name); }
@@ -35,7 +35,7 @@
 constexpr std::string_view kKnownVariables[] = {"ROUTER_CONFIG", "ROUTER_DISCOVERY", "ROUTER_FD",
                                                 "ROUTER_LISTEN", "ROUTER_NAME",      "ROUTER_OPS"};
 
-// The variables with the program's prefix that it does not know.
+// Returns the environment variables that have the prefix but are not known.
 std::vector<std::string> UnknownVariables() {
   std::vector<std::string> unknown;
   for (char** variable = environ; *variable != nullptr; ++variable) {
@@ -55,7 +55,7 @@
   return joined;
 }
 
-// Logs settings that have no effect, as an operator may believe otherwise.
+// Logs settings that have no effect, as an operator may assume that they have one.
 void LogUnknown(const config::Config& config) {
   if (!config.unknown_keys.empty()) net::Log("unknown configuration keys", Join(config.unknown_keys));
   const std::vector<std::string> variables = UnknownVariables();
@@ -67,7 +67,7 @@
          (config.counter ? ", counter " + config.counter->text() : "");
 }
 
-// Of the command line.
+// The command line options.
 struct Options {
   std::string operator_path;  // empty: no operator file
   bool check_only = false;
@@ -82,15 +82,15 @@
 void CheckPeerAddress(const char* key, const std::string& text) {
   const std::optional<config::Address> address = config::Address::Parse(text);
   if (address && address->get()->sa_family == AF_INET) return;
-  throw config::ConfigError(std::string(key) + " is \"" + text + "\": an IPv4 address and port are wanted");
+  throw config::ConfigError(std::string(key) + " is \"" + text + "\": an IPv4 address and port is wanted");
 }
 
-// Checks across both files. Throws config::ConfigError.
-void CheckConsistency(const config::Config& config, const operator_file::OperatorFile& operators) {
-  const postspread::membership::Limits& membership = operators.membership;
+// Checks the two files against each other. Throws config::ConfigError.
+void CheckConsistency(const config::Config& config, const operator_file::OperatorFile& operator_config) {
+  const postspread::membership::Limits& membership = operator_config.membership;
   if (membership.enabled) {
     if (config.name.empty() || config.name.size() > postspread::membership::kMaxName) {
-      throw config::ConfigError("\"name\" is longer than the view of the fleet takes: 1 to 31 bytes");
+      throw config::ConfigError("\"name\" is not 1 to 31 bytes long, as membership requires");
     }
     for (const std::string& peer : membership.seeds) CheckPeerAddress("fleet.seeds", peer);
     if (!membership.listen.empty()) CheckPeerAddress("fleet.listen", membership.listen);
@@ -99,10 +99,10 @@
           "fleet.enabled needs \"peer_listen\", \"peers\" and settings that allow messages, or fleet.listen");
     }
   }
-  if (!operators.idempotency.enabled) return;
+  if (!operator_config.idempotency.enabled) return;
   for (const postspread::ClassSettings& cls : config.settings.classes) {
     if (cls.retry_safety != postspread::RetrySafety::kIdempotencyKey ||
-        operators.idempotency.keep >= cls.key_ttl)
+        operator_config.idempotency.keep >= cls.key_ttl)
       continue;
     throw config::ConfigError("idempotency.keep is shorter than the KeyTtl of class \"" + cls.name + "\", " +
                               std::to_string(cls.key_ttl.count() / 1000) + "ms");
@@ -110,7 +110,7 @@
   config::ToPeers(config);
 }
 
-// In the build for tests the environment may disable a defense, to show that the tests depend on it.
+// In test builds, an environment variable may disable one defense, to verify that the tests depend on it.
 postspread::membership::DisabledDefense DisabledDefenseOfBuild() {
   using postspread::membership::DisabledDefense;
 #ifdef POSTSPREAD_SWITCHES
@@ -130,13 +130,13 @@
   std::optional<net::GatewayServer> gateway;
 };
 
-// Both files are decoded completely first: where one is invalid, nothing changes.
+// Decodes both files completely before it applies them: if one is invalid, nothing changes.
 void Reload(Program& program) {
   try {
     const config::Config config = config::Reload(ReadVariable, program.gateway->config());
-    const operator_file::OperatorFile operators = ReadOperatorFile(program.options);
-    CheckConsistency(config, operators);
-    const net::ReloadResult result = program.gateway->Reload(config, operators);
+    const operator_file::OperatorFile operator_config = ReadOperatorFile(program.options);
+    CheckConsistency(config, operator_config);
+    const net::ReloadResult result = program.gateway->Reload(config, operator_config);
     net::Log("configuration reloaded", DescribeAddresses(config));
     if (result == net::ReloadResult::kNeedsRestart)
       net::Log("configuration needs a restart", "the rest applies from the next start on");
@@ -150,8 +150,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   const net::EventBase base = net::MakeEventBase();
   Program program{options, std::nullopt};
-  // Before the files are read, so that no signal ends the program or is missed during the start. The
-  // callbacks run once the event loop does.
+  // The handlers are installed before the files are read, so that no signal terminates the process or is lost
+  // during the start. The callbacks run only after the event loop has started.
   const auto on_stop = [](evutil_socket_t, short, void* self) {
     static_cast<Program*>(self)->gateway->Stop();
   };
@@ -161,12 +161,12 @@
   const net::EventHandle hang_up(evsignal_new(base.get(), SIGHUP, on_reload, &program));
   for (const auto* handle : {&term, &interrupt, &hang_up}) {
     const auto add = [handle] { return event_add(handle->get(), nullptr) == 0; };
-    if (!net::OpenWithRetries(add)) throw std::runtime_error("no signal can be caught");
+    if (!net::OpenWithRetries(add)) throw std::runtime_error("can't install the signal handlers");
   }
   const config::Config config = config::Load(ReadVariable);
-  const operator_file::OperatorFile operators = ReadOperatorFile(options);
-  CheckConsistency(config, operators);
-  program.gateway.emplace(base.get(), config, operators, DisabledDefenseOfBuild());
+  const operator_file::OperatorFile operator_config = ReadOperatorFile(options);
+  CheckConsistency(config, operator_config);
+  program.gateway.emplace(base.get(), config, operator_config, DisabledDefenseOfBuild());
   net::Log("started", config.name + " on " + config.listen.text());
   net::Log("admin listener", config.ops ? config.ops->text() : "none is configured");
   LogUnknown(config);
@@ -175,7 +175,7 @@
   return EXIT_SUCCESS;
 }
 
-// Reads and checks both files as a start does, and serves nothing.
+// Reads and checks both files as at a start, without serving.
 int Check(const Options& options) {
   const config::Config config = config::Load(ReadVariable);
   CheckConsistency(config, ReadOperatorFile(options));
@@ -188,10 +188,11 @@
 int main(int argc, char** argv) {
   Options options;
   CLI::App app("The gateway. ROUTER_CONFIG names the platform's configuration.", "postspread_gateway");
-  app.add_option("--operator", options.operator_path, "The operator file; without it all in it is off")
+  app.add_option("--operator", options.operator_path,
+                 "The operator file; without it, its optional features are disabled")
       ->type_name("FILE");
-  app.add_flag("--check", options.check_only, "Read and check all configuration, then end");
-  app.add_option("--log-format", options.log_format, "The form of log lines: text or json")
+  app.add_flag("--check", options.check_only, "Read and check all configuration, then exit");
+  app.add_option("--log-format", options.log_format, "The format of log lines: text or json")
       ->type_name("FORM")
       ->transform(CLI::CheckedTransformer(std::map<std::string, net::LogFormat>{
           {"text", net::LogFormat::kText}, {"json", net::LogFormat::kJson}}));
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// The simulator adapter: reads the simulator's wire on standard input, hands each instance's events to a
-// Controller of its own, and writes one reply a batch on standard output.
+// The simulator adapter: reads the simulator's messages from standard input, passes the events of each
+// instance to its own Controller, and writes one reply per batch to standard output.
 #include <iostream>
 #include <map>
 #include <string>
@@ -16,10 +16,10 @@
 using postspread::TimePoint;
 namespace simulator = postspread::simulator;
 
-// The instances of the simulated fleet, each a Controller of its own, and the reply to the current batch.
+// Owns a Controller for each simulated instance, and the reply to the current batch.
 class InstanceHost {
  public:
-  // Handles one message; returns true when the batch has ended and its reply is due.
+  // Handles one message. Returns true if the batch has ended and its reply must be written.
   bool Handle(simulator::Message message) {
     if (const auto* start = std::get_if<simulator::BatchStart>(&message)) {
       StartBatch(*start);
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,5 +1,5 @@
-// Each Decode function is the table from the themed names of one message to the terms of control.h; each
-// ActionEncoder overload is the way back.
+// Each Decode function maps the simulator's names in one message to the types of control.h. Each
+// ActionEncoder overload does the reverse.
 #include "simulator/wire.h"
 
 #include <charconv>
@@ -13,7 +13,7 @@
 
 using namespace json_reader;
 
-ServerInfo DecodeServer(const json& from) {
+ServerInfo DecodeEndpoint(const json& from) {
   ServerInfo out;
   out.id = Text(from, "Backend");
   out.zone = TextOr(from, "Campus");
@@ -114,7 +114,7 @@
   TimerEvent out;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out.token);
   if (error != std::errc() || end != text.data() + text.size())
-    out.token = 0;  // not a token of ours: matches no timer
+    out.token = 0;  // no token of this program: matches no timer
   return out;
 }
 
@@ -156,7 +156,9 @@
   return {instance, seed.get<std::uint64_t>(), DecodeSettings(Require(from, "Info"))};
 }
 
-std::string Line(const json& message) { return message.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string Serialize(const json& message) {
+  return message.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
 json NewMessage(std::int64_t instance, const char* type) { return {{"event_type", type}, {"I", instance}}; }
 
@@ -225,11 +227,11 @@
 using EventDecoder = Event (*)(const json& from);
 
 struct EventType {
-  std::string_view name;  // of the wire
+  std::string_view name;  // the value of event_type
   EventDecoder decode;
 };
 
-// Events of an instance that need nothing but their own line.
+// Events of an instance that are decoded from their own line alone.
 constexpr EventType kEventTypes[] = {
     {"Order", [](const json& from) -> Event { return DecodeRequest(from); }},
     {"Response", [](const json& from) -> Event { return DecodeOutcomeEvent(from); }},
@@ -250,7 +252,7 @@
   const std::string type = Text(from, "event_type");
   if (type == "Batch") return BatchStart{Time(from, "Ts")};
   if (type == "EofBatch") return BatchEnd{};
-  if (type == "Inventory") return StoreServerList(from);
+  if (type == "Inventory") return StoreEndpointList(from);
 
   const std::int64_t instance = Integer(from, "I", 0, std::numeric_limits<std::int32_t>::max());
   if (type == "Init") return DecodeInstanceStart(instance, from);
@@ -262,10 +264,10 @@
   ThrowJsonError("unknown event_type \"" + type + "\"");
 }
 
-NothingToHandle Decoder::StoreServerList(const json& from) {
-  auto servers = std::make_shared<std::vector<ServerInfo>>();
-  for (const json& entry : Array(from, "Rows")) servers->push_back(DecodeServer(entry));
-  lists_[IntegerOr(from, "Buffer", 0)] = std::move(servers);
+NothingToHandle Decoder::StoreEndpointList(const json& from) {
+  auto endpoints = std::make_shared<std::vector<ServerInfo>>();
+  for (const json& entry : Array(from, "Rows")) endpoints->push_back(DecodeEndpoint(entry));
+  lists_[IntegerOr(from, "Buffer", 0)] = std::move(endpoints);
   return {};
 }
 
@@ -286,7 +288,7 @@
 
 std::string Encode(std::int64_t instance, const Action& action) {
   const json message = std::visit(ActionEncoder{instance}, action);
-  return message.is_null() ? std::string() : Line(message);
+  return message.is_null() ? std::string() : Serialize(message);
 }
 
 std::string EncodeReplyEnd() { return R"({"event_type":"End"})"; }
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -1,4 +1,4 @@
-// Translates the simulator's JSON lines to and from the types of postspread/control.h.
+// Converts the simulator's JSON lines to and from the types of postspread/control.h.
 #ifndef POSTSPREAD_SIMULATOR_WIRE_H_
 #define POSTSPREAD_SIMULATOR_WIRE_H_
 
@@ -15,14 +15,14 @@
 
 namespace postspread::simulator {
 
-// A line that can't be decoded; the text names the faulty member.
+// A line can't be decoded. The text names the invalid member.
 using WireError = json_reader::JsonError;
 
 struct BatchStart {
   TimePoint now{0};
 };
 struct BatchEnd {};
-struct NothingToHandle {};  // a line that only the decoder needed
+struct NothingToHandle {};  // the line only changed the decoder's state
 struct InstanceStart {
   std::int64_t instance = 0;
   std::uint64_t seed = 0;
@@ -39,20 +39,20 @@
 using Message =
     std::variant<BatchStart, BatchEnd, NothingToHandle, InstanceStart, InstanceStop, InstanceEvent>;
 
-// Decodes lines in order; keeps the numbered server lists that later lines refer to.
+// Decodes lines in order, and stores the numbered upstream lists to which later lines refer.
 class Decoder {
  public:
   // Throws WireError.
   Message Decode(std::string_view line);
 
  private:
-  NothingToHandle StoreServerList(const json_reader::json& from);
+  NothingToHandle StoreEndpointList(const json_reader::json& from);
   [[nodiscard]] EndpointListEvent DecodeEndpointList(const json_reader::json& from) const;
 
   std::map<std::int64_t, std::shared_ptr<const std::vector<ServerInfo>>> lists_;
 };
 
-// One line, without its end; empty where the wire has no message for the action.
+// Returns one line, without its line end; empty if the simulator has no message for the action.
 std::string Encode(std::int64_t instance, const Action& action);
 std::string EncodeReplyEnd();
 
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec both ways, and what it says of malformed lines.
+// The simulator's codec in both directions, and its errors for malformed lines.
 #include "simulator/wire.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   return "";
 }
 
-TEST(Wire, ReadsARequestAndIgnoresUnknownMembers) {
+TEST(Wire, DecodesARequestAndIgnoresUnknownMembers) {
   const auto e = DecodeEvent<RequestEvent>(
       R"({"event_type":"Order","I":3,"Corr":77,"Service":"read","Terms":"gold","ApiKey":"91f03b7c55d20a64",)"
       R"("ExpiresIn":240000,"CostUnits":2.5,"Width":3,"FirstDoor":1,"IsRetry":true,"Later":[1]})");
@@ -41,7 +41,7 @@
   EXPECT_FALSE(e.write);
 }
 
-TEST(Wire, ReadsAnOutcomeWithItsLoadReport) {
+TEST(Wire, DecodesAnOutcomeWithItsLoadReport) {
   const auto e = DecodeEvent<OutcomeEvent>(
       R"({"event_type":"Response","I":3,"Corr":7,"Try":1,"Backend":"b","Reason":"too_slow","Elapsed":18500,)"
       R"("Last":true,"TrueUnits":3,"Gauge":{"recent_ms":14.5,"outstanding":7}})");
@@ -53,7 +53,7 @@
   EXPECT_LT(e.load.utilization, 0);
 }
 
-TEST(Wire, ResolvesListsInOrder) {
+TEST(Wire, ResolvesAListToItsLatestContents) {
   Decoder decoder;
   const std::string endpoint_list =
       R"({"event_type":"PeersKnown","I":0,"Mode":"Complete","Index":1,"Buffer":2})";
@@ -67,7 +67,7 @@
   EXPECT_EQ(std::get<EndpointListEvent>(second.event).servers->at(0).state, ServerState::kDraining);
 }
 
-TEST(Wire, ReadsCounterReplies) {
+TEST(Wire, DecodesCounterReplies) {
   const auto e = DecodeEvent<CounterEvent>(
       R"({"event_type":"LedgerReply","I":1,"Level":38.5,"Elapsed":2150,"Reason":"pass","Book":"k:0:5"})");
   EXPECT_EQ(e.result, CounterResult::kOk);
@@ -75,7 +75,7 @@
   EXPECT_EQ(e.name, "k:0:5");
 }
 
-TEST(Wire, ReadsSettings) {
+TEST(Wire, DecodesSettings) {
   Decoder decoder;
   const auto start = std::get<InstanceStart>(decoder.Decode(
       R"({"event_type":"Init","I":2,"Seed":9,"Info":{"Classes":[{"Name":"w","Aim":5,"HardLimit":9,)"
@@ -90,7 +90,7 @@
   EXPECT_EQ(start.settings.drain_grace, Duration(7));
 }
 
-TEST(Wire, SaysWhatIsWrong) {
+TEST(Wire, RejectsMalformedLinesWithAnError) {
   EXPECT_EQ(ErrorOf("{"), "not valid JSON");
   EXPECT_EQ(ErrorOf("[]"), "not a JSON object");
   EXPECT_EQ(ErrorOf(R"({"I":1})"), "missing member \"event_type\"");
@@ -104,7 +104,7 @@
             "member \"Buffer\" names a list that was not given");
 }
 
-TEST(Wire, WritesActions) {
+TEST(Wire, EncodesActions) {
   EXPECT_EQ(Encode(3, Send{7, "b", Duration(80000)}),
             R"({"Backend":"b","Corr":7,"I":3,"Limit":80000,"event_type":"CallOut"})");
   EXPECT_EQ(Encode(3, Reject{7, Duration(0)}), R"({"Corr":7,"I":3,"event_type":"Shed"})");
