--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -1,5 +1,5 @@
-// A way between two parties over TCP that a test can cut: nothing is said then, as when a cable is pulled,
-// and connections that come up meanwhile hang.
+// TCP relay that a test can interrupt. While it is cut, it transfers nothing and closes nothing, as with a
+// network cable that is unplugged, and new connections hang.
 #ifndef POSTSPREAD_TESTS_FLEET_RELAY_H_
 #define POSTSPREAD_TESTS_FLEET_RELAY_H_
 
@@ -11,6 +11,7 @@
 
 namespace postspread::fleet_rig {
 
+// Listens on a loopback port and forwards each connection to `target`.
 class Relay {
  public:
   Relay(event_base* base, std::string target) : base_(base), target_(std::move(target)) {
@@ -22,16 +23,16 @@
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 128, reinterpret_cast<const sockaddr*>(&address),
         sizeof address));
-    if (!listener_) throw std::runtime_error("can't listen on loopback");
+    if (!listener_) throw std::runtime_error("relay can't listen on loopback");
     sockaddr_in bound{};
     socklen_t size = sizeof bound;
     getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&bound), &size);
     address_ = partners::LoopbackAddress(ntohs(bound.sin_port));
   }
   [[nodiscard]] const std::string& address() const { return address_; }
-  void Cut() { Set(true); }
-  void Heal() { Set(false); }
-  // Resets every connection that goes over it.
+  void Cut() { SetCut(true); }
+  void Heal() { SetCut(false); }
+  // Resets every connection through the relay.
   void Reset() {
     for (const auto& pair : pairs_) {
       const linger hard{1, 0};
@@ -41,18 +42,21 @@
     }
     pairs_.clear();
   }
+  // The number of connections that the relay has accepted.
   std::uint64_t dials = 0;
 
  private:
+  // The two sides of one relayed connection.
   struct Pair {
     Relay* relay = nullptr;
     net::BufferEvent near, far;
   };
-  void Set(bool cut) {
+  void SetCut(bool cut) {
     cut_ = cut;
-    for (const auto& pair : pairs_) Open(*pair);
+    for (const auto& pair : pairs_) Update(*pair);
   }
-  void Open(Pair& pair) const {
+  // Enables or disables transfers on both sides of the pair.
+  void Update(Pair& pair) const {
     for (bufferevent* side : {pair.near.get(), pair.far.get()}) {
       if (side == nullptr) continue;
       (cut_ ? bufferevent_disable : bufferevent_enable)(side, EV_READ | EV_WRITE);
@@ -67,7 +71,7 @@
     pair->far = net::Dial(base_, *address, OnRead, nullptr, OnEvent, pair.get());
     if (!pair->far) return;
     bufferevent_setcb(pair->near.get(), OnRead, nullptr, OnEvent, pair.get());
-    Open(*pair);
+    Update(*pair);
     pairs_.push_back(std::move(pair));
   }
   static void OnRead(bufferevent* from, void* context) {
