--- a/include/postspread/control.h
+++ b/include/postspread/control.h
@@ -248,7 +248,7 @@
   RequestId id = 0;
   std::string upstream;
   Duration timeout{0};
-  // The attempt must not start later than this: upstreams might no longer recognize its idempotency key.
+  // The first byte must not be sent later than this: upstreams might no longer recognize the idempotency key.
   Duration first_byte_timeout{0};
 };
 
--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -17,8 +17,8 @@
 //       kTimeoutMargin
 //   - two calls are refused:
 //       backoff; dial, kShortWatchWait + kTimeoutMargin; backoff; dial, kTimeoutMargin
-// A dial takes at most Dial(). A call times out kTimeoutMargin after its wait. A call that is made after the
-// change receives its response at once. The backoffs are bounded by what these sequences leave of
+// A dial takes at most DialTimeout(). A call times out kTimeoutMargin after its wait. A call that is made
+// after the change receives its response at once. The backoffs are bounded by what these sequences leave of
 // kChangeDeadline - kProcessingReserve.
 class DiscoverySchedule {
  public:
@@ -28,8 +28,8 @@
   // How long a watch waits for a change. A shorter wait detects an unresponsive agent sooner.
   static constexpr std::chrono::milliseconds kWatchWait{2'000};
   static constexpr std::chrono::milliseconds kShortWatchWait{500};  // wait of the first call after a fault
-  static constexpr std::chrono::milliseconds kTimeoutMargin{
-      500};  // time after the wait until a call times out
+  // Time after the wait until a call times out.
+  static constexpr std::chrono::milliseconds kTimeoutMargin{500};
   // Delay until the next dial after a lost call: a watch continues only if it is resumed within 200 ms.
   static constexpr std::chrono::milliseconds kRedialDelay{100};
   // The discovery agent runs on the same machine, so a dial that takes longer has failed.
--- a/src/flow/eviction.h
+++ b/src/flow/eviction.h
@@ -20,12 +20,9 @@
   bool has_requested = false;
   // A command has begun to arrive and is incomplete.
   bool has_partial = false;
-  // This time has passed since the last command, or since the client connected.
-  std::chrono::milliseconds since_command{0};
-  // This time has passed since the first byte of the incomplete command.
-  std::chrono::milliseconds since_partial{0};
-  // This time has passed since the last byte.
-  std::chrono::milliseconds since_byte{0};
+  std::chrono::milliseconds since_command{0};  // time since the last command, or since the client connected
+  std::chrono::milliseconds since_partial{0};  // time since the first byte of the incomplete command
+  std::chrono::milliseconds since_byte{0};     // time since the last byte
 };
 
 // The connection with the lowest rank is evicted first.
--- a/src/model/request.h
+++ b/src/model/request.h
@@ -8,7 +8,8 @@
 
 namespace postspread {
 
-// The planner assigns each request a unique id. An id that a client chooses may name several requests.
+// The planner assigns each request an id and never reuses it. An id that a client chooses may name several
+// requests.
 using RequestId = std::uint64_t;
 
 // Attempts of one request are numbered 0, 1, ... in the order in which they start.
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,7 +6,8 @@
 namespace postspread::policy {
 namespace {
 
-// Increase of a request's shed probability for each unit by which its relative value is below the mean of 1.
+// Relative increase of a request's shed probability for each unit by which its relative value is below the
+// mean of 1.
 constexpr double kValueTilt = 2;
 // Fraction of the traffic that is shed at once, per unit of pressure above the high-pressure threshold.
 constexpr double kHighPressureGain = 2;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -39,8 +39,8 @@
   // Returns the fraction of the traffic that is shed, without the part that is added under high pressure.
   [[nodiscard]] double shed_fraction() const { return shed_fraction_; }
 
-  // Returns how long a client waits before it retries a shed request: the memory of the load statistics,
-  // since they would not have changed sooner.
+  // Returns how long a client waits before it retries a shed request: the time constant of the load
+  // statistics, since they would not have changed sooner.
   [[nodiscard]] Duration RetryAfter();
 
   // Removes an attempt from the load statistics when it ends or exceeds its latency objective. Further calls
--- a/src/policy/counter_window.cpp
+++ b/src/policy/counter_window.cpp
@@ -6,7 +6,7 @@
 namespace postspread::policy {
 namespace {
 
-constexpr double kLimitDecrease = 0.7;  // factor on overload
+constexpr double kLimitDecrease = 0.7;  // factor after a slow reply or an overload
 
 // Factors of the fraction of requests that call the counter; it settles where one call in eight fails.
 constexpr double kFractionDecrease = 0.7;
--- a/src/policy/quota_counter.cpp
+++ b/src/policy/quota_counter.cpp
@@ -129,7 +129,7 @@
   if (plan.rate <= 0 || !context_.settings().has_counter || counter_.call_fraction() < 1) return;
   const TimePoint now = context_.now();
   const bool sub_request = HasSubRequestSlice(customer);
-  // If slices are smaller than a request, the call is made only if the period's count has capacity.
+  // If slices are smaller than a request, the call is made only if it leaves capacity in the period's count.
   if (sub_request && !customer.account.HasCapacityInPeriod(plan, now)) return;
   const bool any_unit = sub_request || customer.account.has_uncounted();
   const double min_units =
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -54,7 +54,7 @@
   // Returns the time until which upstreams recognize a retry by its idempotency key. If nothing may have run,
   // this is the deadline.
   [[nodiscard]] TimePoint RetryableUntil() const;
-  // Whether the client may safely retry the request, whether or not an attempt has run.
+  // Returns whether the client may safely retry the request: its class allows it, or nothing may have run.
   [[nodiscard]] bool IsSafeToRetry() const;
 };
 
--- a/src/policy/retry.h
+++ b/src/policy/retry.h
@@ -43,7 +43,7 @@
   [[nodiscard]] StuckAction OnStuckTimeout(const RequestState& request);
 
   // Decides whether the request, which has no open attempt, may be retried. Withdraws from the budget, except
-  // for an attempt whose connection failed and for one that OnStuckTimeout has paid.
+  // after a failed connection or if OnStuckTimeout has already withdrawn for this retry.
   [[nodiscard]] bool MayRetry(RequestState& request, Outcome outcome);
 
  private:
--- a/src/policy/upstream_estimates.cpp
+++ b/src/policy/upstream_estimates.cpp
@@ -5,7 +5,7 @@
 namespace postspread::policy {
 namespace {
 
-constexpr double kMaxSamples = 8;  // an upstream's latency is a mean over this many responses
+constexpr double kMaxSamples = 8;  // an upstream's latency is a mean over at most this many responses
 // The weight of one response in the latency of its zone, which must follow a change within seconds even when
 // responses are few.
 constexpr double kZoneWeight = 0.1;
--- a/src/policy/upstream_selector.cpp
+++ b/src/policy/upstream_selector.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t kMaxCandidates = 12;
 // The multiples of this number, modulo 1, are evenly distributed however many there are.
 constexpr double kGoldenRatio = 0.6180339887;
-// The crossing price times this factor is added to the cost of an upstream in another zone: a price of 0.02
-// adds half of the cost.
+// The cost of an upstream in another zone rises by the crossing price times this factor: a price of 0.02 adds
+// half of the cost.
 constexpr double kZoneCrossFactor = 25;
 // A cancelled or timed-out attempt at an upstream that has sent no response since the attempt started counts
 // as a failure from this fraction of the maximum objective on.
--- a/src/statistics/load_statistics.cpp
+++ b/src/statistics/load_statistics.cpp
@@ -12,7 +12,8 @@
 constexpr double kMinResponses = 0.5;          // the minimum divisor, which prevents a division by 0
 
 // Weights of one maintenance round, ten of which run per second. The baseline follows faster service times
-// within a second, and rises over minutes. The usual number in flight is a mean over ten seconds.
+// within a second, and rises over minutes. The usual number in flight is a mean over ten seconds of
+// normal condition.
 constexpr double kBaselineWeightFaster = 0.1;
 constexpr double kBaselineWeightSlower = 0.0005;
 constexpr double kUsualInFlightWeight = 0.01;
--- a/src/subsetting/subset.h
+++ b/src/subsetting/subset.h
@@ -8,10 +8,9 @@
 //  - Each upstream is covered by the same number of arcs, weighted by the fraction that each arc covers.
 //  - The number of gateways that use an upstream is within one of the mean for upstreams of its weight.
 //  - A gateway or an upstream that is added or removed changes at most two upstreams of any subset. With
-//    fewer gateways than upstreams, these are two for each upstream between adjacent gateways. The optimum
-//    is one.
-//  - A subset contains at least `min_other_zone` ready upstreams of each zone, or all of them if there are
-//  fewer.
+//    fewer gateways than upstreams, it changes at most two for each upstream between two adjacent gateways.
+//    The optimum is one.
+//  - A subset contains `min_other_zone` ready upstreams of each zone or more, or all if there are fewer.
 //  - An upstream that is not ready is in no subset.
 // If gateways differ in their members, the error of the arcs, and of the coverage of any upstream, is bounded
 // by that difference.
--- a/src/usage/usage_table.cpp
+++ b/src/usage/usage_table.cpp
@@ -21,7 +21,7 @@
 constexpr int kLevelOfOne = 64;              // the level of a demand of 1; the range is 2^-8 to 2^24
 constexpr double kMinDemand = 1e-9;          // lower bound, so that the logarithm is finite
 constexpr double kSignificantFactor = 1.25;  // a change by more than this factor is broadcast at once
-constexpr double kTrackedDemand = 1.0;       // demand from which a customer is tracked: its rate
+constexpr double kTrackedDemand = 1.0;       // minimum demand of a customer to be tracked: its rate
 // A demand is broadcast again after this time, for gateways that missed the last broadcast.
 constexpr std::chrono::seconds kRepeatInterval{4};
 // An entry expires when three broadcasts have been missed.
