--- a/src/idempotency/action_writer.cpp
+++ b/src/idempotency/action_writer.cpp
@@ -19,7 +19,7 @@
       ++counts_.unknown_outcomes;
       break;
     case FailureReason::kResponseDropped:
-      ++counts_.dropped_answers;
+      ++counts_.dropped_responses;
       break;
     case FailureReason::kFingerprintMismatch:
       ++counts_.fingerprint_mismatches;
--- a/src/idempotency/action_writer.h
+++ b/src/idempotency/action_writer.h
@@ -1,5 +1,5 @@
-// Collects the actions of one call, including the final responses to an entry's waiters. A waiter whose
-// client has disconnected gets a ReleaseRequest in place of its response.
+// Collects the actions that one call of the replica returns, including the final responses to an entry's
+// waiters. A waiter whose client has disconnected gets a ReleaseRequest in place of its response.
 #ifndef POSTSPREAD_IDEMPOTENCY_ACTION_WRITER_H_
 #define POSTSPREAD_IDEMPOTENCY_ACTION_WRITER_H_
 
--- a/src/idempotency/claim_protocol.cpp
+++ b/src/idempotency/claim_protocol.cpp
@@ -94,7 +94,7 @@
     }
     peers_.Queue(rank, claim, Reply::kExpected, now);
     awaiting.Add(rank);
-    // A recipient beyond the set's capacity is queried again and is sent no withdrawal; its record expires.
+    // A recipient beyond the set's capacity is sent the claim again, and no withdrawal: its record expires.
     entry.claim.recipients.Add(rank);
   }
   entry.claim.awaiting = awaiting;
--- a/src/idempotency/claim_protocol.h
+++ b/src/idempotency/claim_protocol.h
@@ -1,7 +1,7 @@
 // This gateway's side of the protocol that decides which gateway runs the work on a key. Before the work
-// begins, the gateway queries the key's replicas, which are some of the customer's gateways, to record its
-// claim. A replica with a record of an earlier claim names its holder, and the gateway then queries the
-// holder for the status of the work.
+// begins, the gateway sends its claim to the key's replicas, some of the customer's gateways, which record
+// it. A replica with a record of an earlier claim names the holder, the gateway that made that claim. The
+// gateway then queries the holder for the status of the work.
 #ifndef POSTSPREAD_IDEMPOTENCY_CLAIM_PROTOCOL_H_
 #define POSTSPREAD_IDEMPOTENCY_CLAIM_PROTOCOL_H_
 
@@ -41,7 +41,8 @@
   [[nodiscard]] EntryStatus StartClaim(Entry& entry, TimePoint now);
   // Counts the vote of a replica that does not object to the claim, or whose objection is stale.
   [[nodiscard]] EntryStatus OnVoteCounted(Entry& entry, int rank, TimePoint now);
-  // Queries the replicas whose votes are missing again, and others in place of those that are unavailable.
+  // Repeats the claim to replicas whose votes are missing, and sends it to others in place of unavailable
+  // ones.
   [[nodiscard]] EntryStatus RetryClaim(Entry& entry, TimePoint now);
 
   // Queries the holder for the status of its work; resumes the work if the holder is lost.
--- a/src/idempotency/counted_memory.h
+++ b/src/idempotency/counted_memory.h
@@ -15,7 +15,7 @@
   [[nodiscard]] std::size_t peak() const { return peak_; }
 
  private:
-  static constexpr std::size_t kBlockOverheadBytes = 16;  // the maximum of glibc's allocator
+  static constexpr std::size_t kBlockOverheadBytes = 16;  // the maximum per block with glibc
 
   void* do_allocate(std::size_t bytes, std::size_t alignment) override;
   void do_deallocate(void* block, std::size_t bytes, std::size_t alignment) override;
--- a/src/idempotency/counts.cpp
+++ b/src/idempotency/counts.cpp
@@ -19,7 +19,7 @@
                                {"resumed", counts.resumed},
                                {"mismatched", counts.fingerprint_mismatches},
                                {"unknown_told", counts.unknown_outcomes},
-                               {"answer_gone_told", counts.dropped_answers},
+                               {"answer_gone_told", counts.dropped_responses},
                                {"full_deferred", counts.full_rejected},
                                {"full_passed", counts.full_unprotected},
                                {"unvouched", counts.unconfirmed},
--- a/src/idempotency/counts.h
+++ b/src/idempotency/counts.h
@@ -15,7 +15,7 @@
   std::uint64_t replayed = 0;  // repeats that received a stored response
   std::uint64_t fetched = 0;   // responses transferred from a peer
   // Waiters that failed, by reason.
-  std::uint64_t fingerprint_mismatches = 0, unknown_outcomes = 0, dropped_answers = 0;
+  std::uint64_t fingerprint_mismatches = 0, unknown_outcomes = 0, dropped_responses = 0;
   // Requests for which a store had no capacity, rejected or started without deduplication (the rejected ones
   // include repeats beyond `max_waiters`), and keys that no gateway could confirm as new.
   std::uint64_t full_rejected = 0, full_unprotected = 0, unconfirmed = 0;
--- a/src/idempotency/entry.h
+++ b/src/idempotency/entry.h
@@ -74,7 +74,7 @@
   TimePoint sent{0};          // when the work began, on any gateway; the deduplication window starts here
   TimePoint expires{0};       // when the store removes the entry, unless its work runs
   TimePoint next_attempt{0};  // kClaiming, kClaimedByPeer with waiters: when peers are queried again
-  TimePoint due{0};           // the entry's key in the store's time index
+  TimePoint due{0};           // the entry's position in the store's time index
   RunningAttempt running;
   OwnClaim claim;
   HolderClaim holder;
--- a/src/idempotency/key_state.h
+++ b/src/idempotency/key_state.h
@@ -10,7 +10,7 @@
 
 enum class KeyState : std::uint8_t {
   kNew,             // the key has just been added to the store
-  kClaiming,        // the key's replicas are queried to record this gateway's claim
+  kClaiming,        // the gateway waits for votes of the key's replicas on its claim
   kRunning,         // the work on the key runs on this gateway
   kCompleted,       // the work is known to be executed; its response may have been evicted
   kUnknownOutcome,  // the work ended and may have been executed
--- a/src/idempotency/limits.h
+++ b/src/idempotency/limits.h
@@ -30,7 +30,7 @@
   WhenUnconfirmed when_unconfirmed = WhenUnconfirmed::kStartSticky;
   std::size_t replicas = 2;                      // gateways that record a key's claim before its work begins
   std::size_t datagrams_per_second = 20;         // maximum rate to each peer
-  std::chrono::milliseconds peer_silent{1'500};  // a peer is unavailable if it sends no reply for this long
+  std::chrono::milliseconds peer_silent{1'500};  // queries unanswered for this long make a peer unavailable
   bool operator==(const Limits&) const = default;
 };
 
--- a/src/idempotency/peer_messages.cpp
+++ b/src/idempotency/peer_messages.cpp
@@ -160,8 +160,8 @@
   const bool is_withdrawn =
       vote.holder != from &&
       entry.withdrawn.Contain(vote.holder, vote.holder_incarnation, vote.reference_round);
-  // The voter's record does not count: it names this gateway's own pending claim, or a claim that its gateway
-  // has reported as withdrawn.
+  // The voter's record does not count: it names a claim of this gateway, which is pending or withdrawn, or a
+  // claim that its gateway has reported as withdrawn.
   if (is_own_claim || is_withdrawn) return claims_.OnVoteCounted(entry, from, now);
   if (is_own_rank) {
     claims_.RecoverOwnWork(entry, vote, now);
--- a/src/idempotency/peer_messages.h
+++ b/src/idempotency/peer_messages.h
@@ -42,7 +42,7 @@
   void On(int from, const FragmentRecord& fragment, TimePoint now);
 
   // Handle a peer's claim of a key: one that this gateway has no record of, one that the peer already holds,
-  // or one that this gateway is also claiming and the peer takes precedence.
+  // or one that this gateway also claims while the peer takes precedence.
   void OnFirstClaim(int from, const ClaimRecord& claim, TimePoint now);
   void OnHolderClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now);
   void OnPrecedingClaim(Entry& entry, int from, const ClaimRecord& claim, TimePoint now);
--- a/src/idempotency/peers.h
+++ b/src/idempotency/peers.h
@@ -1,8 +1,8 @@
 // A replica's state for each of the other gateways of the group: the queued records, the rate limit, whether
 // the peer replies, and its incarnation. It does no I/O and reads no clock.
 //
-// Limits: kMaxPeers peers, and at most 512 queued records for each. A new record is dropped if the queue is
-// full, because every record is either sent again later or only saves a query.
+// Limits: kMaxPeers peers, and at most 512 queued records for each. If the queue is full, a new record is
+// dropped. That is safe, because every record is either sent again later or only saves a query.
 #ifndef POSTSPREAD_IDEMPOTENCY_PEERS_H_
 #define POSTSPREAD_IDEMPOTENCY_PEERS_H_
 
@@ -55,7 +55,7 @@
   // Returns whether the peer has restarted since this incarnation, by its own datagrams or by the view.
   [[nodiscard]] bool HasRestarted(int rank, std::uint64_t incarnation) const;
 
-  // Calls `send(rank, bytes)` for each datagram that the rate limit allows by now.
+  // Calls `send(rank, bytes)` for each datagram that the rate limit allows at `now`.
   template <typename Send>
   void Flush(TimePoint now, Send send) {
     for (int rank = 0; rank < static_cast<int>(peers_.size()); ++rank) {
--- a/src/idempotency/replica.h
+++ b/src/idempotency/replica.h
@@ -4,9 +4,9 @@
 // docs/idempotency-design.md explains the design; docs/idempotency.md is the operators' page.
 //
 // Guarantee: of all requests with one key that reach the gateways of a group within `keep` of the first, no
-// two are sent where both could be executed, as long as (a) the key's holder or a replica that recorded its
-// claim is alive, and (b) the upstreams of a group drop repeats for the class's deduplication window.
-// docs/idempotency.md describes what holds if either condition fails.
+// two are sent where both could be executed, as long as (a) the key's holder, which is the gateway that
+// claimed it, or a replica that recorded its claim is alive, and (b) the upstreams of a group drop repeats
+// for the class's deduplication window. docs/idempotency.md describes what holds if either condition fails.
 //
 // How the replica handles a key (the table in key_state.h lists the states and transitions):
 //
@@ -27,7 +27,7 @@
 //   completed          repeat                      complete it; resume if the response was evicted
 //   unknown outcome    repeat                      within the window resume in the same group, else fail
 //   claimed by peer    repeat                      query the holder; after its work, fetch the response
-//   claimed by peer    no response, or holder lost resume
+//   claimed by peer    no response or holder lost  resume
 //   any                request, other fingerprint  fail it: fingerprint mismatch
 //   all but running    expiry                      remove the key
 #ifndef POSTSPREAD_IDEMPOTENCY_REPLICA_H_
--- a/src/idempotency/types.h
+++ b/src/idempotency/types.h
@@ -13,7 +13,7 @@
 
 namespace postspread::idempotency {
 
-// A time point is measured from an origin that the caller chooses; it never decreases.
+// The time since an origin that the caller chooses; it never decreases.
 using TimePoint = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
 
@@ -47,7 +47,7 @@
   KeyId key;
   std::uint64_t fingerprint = 0;  // hash of everything that must be equal in a repeat
   std::uint32_t customer = 0;     // hash of the customer's name
-  TimePoint deadline{0};          // the client must have its final response by then
+  TimePoint deadline{0};          // the gateway must send the final response by this time
   Duration dedup_window{0};       // how long after the first send the upstreams drop repeats of the request
   bool sticky = false;            // true: only upstreams of the same group drop each other's repeats
   Work work;
@@ -88,7 +88,7 @@
   WaiterId waiter = 0;
   std::shared_ptr<const std::string> value;
 };
-struct RejectWithRetryAfter {  // the request was not started, so a retry cannot execute it twice
+struct RejectWithRetryAfter {  // the request was not executed, so a retry cannot execute it twice
   WaiterId waiter = 0;
   Duration retry_after{0};
 };
@@ -101,12 +101,12 @@
   WaiterId waiter = 0;
   FailureReason reason = FailureReason::kUnknownOutcome;
 };
-// The client of this waiter has disconnected and needs no response. It takes the place of the final response
-// where the client disconnected while the work ran.
+// The client of this waiter has disconnected and needs no response. If it disconnected while its request ran,
+// this action takes the place of the final response.
 struct ReleaseRequest {
   WaiterId waiter = 0;
 };
-struct SendDatagram {  // `bytes` go to the peer of this rank; at most kMaxDatagram
+struct SendDatagram {  // the caller sends the bytes, at most kMaxDatagram, to this peer
   int rank = 0;
   std::string bytes;
 };
--- a/src/idempotency/wire.h
+++ b/src/idempotency/wire.h
@@ -1,6 +1,6 @@
 // Encodes and decodes the datagrams between the replicas of a group. A datagram is a header and records, at
 // most kMaxDatagram bytes. Numbers are little-endian. A datagram that is truncated, has another version or
-// fails its checksum is rejected completely.
+// fails its checksum is rejected as a whole.
 //
 //   header  18 bytes: "PSK" 2 | rank u16 | incarnation u64 | checksum u32 of all else after the magic
 //   record  kind u8 and the record's members, in the order of the structs below
@@ -19,10 +19,11 @@
 
 namespace postspread::idempotency {
 
-// The progress of the work on a key, as its holder reports it.
+// The progress of the work on a key, as its holder reports it. In kUnknown the work has ended and may have
+// been executed.
 enum class Phase : std::uint8_t { kRunning, kCompleted, kCompletedWithoutResponse, kUnknown };
 
-// Queries a replica to record the sender as the key's holder, together with the key's upstream group.
+// Requests that a replica record the sender as the key's holder, together with the key's upstream group.
 struct ClaimRecord {
   KeyId key;
   std::uint64_t fingerprint = 0;
@@ -64,7 +65,7 @@
 struct OutcomeRecord {
   KeyId key;
   std::uint32_t round = 0;
-  std::uint8_t withdrawn = 0;  // 0: the work has ended with `phase`
+  std::uint8_t withdrawn = 0;  // 1: the claim is withdrawn; 0: the work is in `phase`
   Phase phase = Phase::kCompleted;
   std::uint32_t age_ms = 0;
   bool operator==(const OutcomeRecord&) const = default;
--- a/src/membership/event_log.h
+++ b/src/membership/event_log.h
@@ -15,7 +15,7 @@
  public:
   void Add(Change change) { changes_.push_back(std::move(change)); }
 
-  // Adds a line to the log. For kLogInterval after a line, further lines are dropped.
+  // Adds a log line that an operator should see. For kLogInterval after a line, further lines are dropped.
   void Log(std::string line, TimePoint now) {
     if (logged_at_.count() != 0 && now - logged_at_ < kLogInterval) return;
     logged_at_ = now;
@@ -28,7 +28,7 @@
  private:
   static constexpr std::chrono::seconds kLogInterval{10};
 
-  TimePoint logged_at_{0};  // It is 0 before the first line.
+  TimePoint logged_at_{0};  // the time of the last line; 0: none so far
   std::vector<Change> changes_;
   std::vector<std::string> lines_;
 };
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -27,8 +27,8 @@
   void StartPeriod(TimePoint now);
   // Runs in each tick: repeats probes, requests indirect ones, and suspects members that have not replied.
   void CheckProbes(TimePoint now);
-  // Runs in each tick: sends confirmation probes to suspects, and declares dead those whose timeout has
-  // elapsed.
+  // Runs in each tick: sends confirmation probes to suspects, and declares dead those that have not replied
+  // to them within the suspicion timeout.
   void ConfirmSuspects(TimePoint now);
 
   // Handles a reply of the request's subject: its probe and its suspicion end.
@@ -65,7 +65,7 @@
   LocalHealth& health_;
   EventLog& events_;
   std::vector<Probe> probes_;
-  int alert_periods_ = 0;  // For this many further periods more members are probed.
+  int alert_periods_ = 0;  // the remaining periods in which more members are probed
 };
 
 }  // namespace postspread::membership
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -22,7 +22,8 @@
   void EnqueueSynced(MemberRecord& record);
   // Removes a member. It must be called before the record is erased.
   void Remove(MemberRecord& record);
-  // Adds entries to the datagram while they fit, except for `present`, which it holds already (or nullptr).
+  // Adds entries to the datagram while they fit. Skips the member `present`, if not nullptr, whose entry the
+  // datagram already holds.
   void Piggyback(Writer& writer, const MemberRecord* present);
   [[nodiscard]] bool empty() const { return queue_.empty(); }
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -23,7 +23,7 @@
   bool active = false;
   TimePoint started_at{0};
   TimePoint last_confirmation_at{0};  // The last confirmation probe was sent at this time.
-  int confirmations = 0;              // This many have been sent since the suspicion began.
+  int confirmations = 0;              // the confirmation probes sent since the suspicion began
 };
 
 struct MemberRecord {
@@ -39,7 +39,7 @@
   int flaps = 0;
   TimePoint flapped_at{0};
   bool queued = false;    // The record is in the gossip queue.
-  int transmissions = 0;  // The update has been sent this often.
+  int transmissions = 0;  // how often the update has been sent
 };
 
 // Returns the member's state in the local view: the state in its update, or kSuspect.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,7 +7,7 @@
 namespace postspread::membership {
 namespace {
 
-// All members together contact each unoccupied address this often.
+// All members together contact each unoccupied address this often in a period.
 constexpr std::size_t kContactsPerPeriod = 3;
 constexpr std::size_t kSyncsPerTick = 2;
 constexpr std::size_t kGossipFanout = 2;  // members per tick
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -128,7 +128,7 @@
   UpdateMerger merger_;
   FailureDetector detector_;
   TimePoint next_tick_;
-  int tick_ = 0;  // It counts the ticks of the period, from 0 to kTicksPerPeriod - 1.
+  int tick_ = 0;  // the tick within the period, from 0 to kTicksPerPeriod - 1
 };
 
 }  // namespace postspread::membership
--- a/src/membership/requests.h
+++ b/src/membership/requests.h
@@ -35,10 +35,10 @@
 struct Request {
   std::uint64_t number = 0;
   Purpose purpose = Purpose::kProbe;
-  std::string subject{};  // The name of the probed member is empty if it is unknown.
+  std::string subject{};  // the probed member's name; empty: unknown
   PeerId to = 0;
   TimePoint sent_at{0};
-  RelayOrigin origin{};  // It is set for kRelay only.
+  RelayOrigin origin{};  // set for kRelay only
 };
 
 class Requests {
@@ -48,8 +48,8 @@
   // Sends `subject`, the member that should reply, a Ping, or an Exchange for kContact and kSync. Returns
   // whether it was sent.
   bool Ping(Purpose purpose, const MemberRecord& subject, TimePoint now);
-  // Sends an Exchange to an address at which no live member is known. It holds the entry of `subject`, if not
-  // nullptr.
+  // Sends an Exchange to an address at which no live member is known. The Exchange holds the entry of
+  // `subject`, if not nullptr.
   void Contact(PeerId to, const MemberRecord* subject, TimePoint now);
   // Requests that up to `count` random members ping this one, since only the path between it and the local
   // member may be at fault.
@@ -80,7 +80,7 @@
   std::map<std::uint64_t, Request> pending_;  // The key is the request's number.
   std::uint64_t next_number_;
   TimePoint last_reply_at_;
-  int unanswered_ = 0;  // This many requests were sent since the last reply.
+  int unanswered_ = 0;  // the requests sent since the last reply
 };
 
 }  // namespace postspread::membership
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -21,9 +21,9 @@
 using PeerId = std::uint64_t;
 
 inline constexpr std::size_t kMaxMembers = 1'000;
-inline constexpr std::size_t kMaxNameBytes = 31;         // bytes
-inline constexpr std::size_t kMaxDatagramBytes = 1'400;  // bytes
-inline constexpr std::size_t kMinDatagramBytes = 128;    // bytes
+inline constexpr std::size_t kMaxNameBytes = 31;
+inline constexpr std::size_t kMaxDatagramBytes = 1'400;
+inline constexpr std::size_t kMinDatagramBytes = 128;
 
 // kSuspect is local to the member that raised the suspicion and is never sent.
 enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
@@ -62,7 +62,7 @@
 // A snapshot of the membership. Two views have the same `hash` exactly if they hold the same live members in
 // the same incarnations.
 struct View {
-  std::uint64_t epoch = 0;  // It grows with each change of the live members or their incarnations.
+  std::uint64_t epoch = 0;  // The epoch grows with each change of the live members or their incarnations.
   std::uint64_t hash = 0;
   // All members sorted by name, including the local one. Those that died or left stay until they expire.
   std::vector<Member> members;
@@ -139,9 +139,9 @@
   // The following count dropped datagrams or updates, by cause.
   std::uint64_t unreadable = 0;
   std::uint64_t foreign = 0;             // The datagram belongs to another group.
-  std::uint64_t future = 0;              // It has a later version, or an incarnation in the future.
-  std::uint64_t former_incarnation = 0;  // Its sender is a process that has been replaced.
-  std::uint64_t unsolicited = 0;         // It is a reply to no pending request.
+  std::uint64_t future = 0;              // The version is later, or the incarnation is in the future.
+  std::uint64_t former_incarnation = 0;  // The sender is a process that has been replaced.
+  std::uint64_t unsolicited = 0;         // The datagram is a reply to no pending request.
   std::uint64_t over_capacity = 0;       // The update is about a new member beyond kMaxMembers.
   std::uint64_t throttled = 0;           // The datagram was not sent because the budget was exhausted.
 };
--- a/src/membership/update_merger.h
+++ b/src/membership/update_merger.h
@@ -1,5 +1,5 @@
-// UpdateMerger merges updates into the member table: those that other members send, also about the local
-// member, and those that the local member detects itself. The Membership owns it.
+// UpdateMerger merges updates into the member table: those that other members send, including those about the
+// local member, and those that the local member detects itself. The Membership owns it.
 #ifndef POSTSPREAD_MEMBERSHIP_UPDATE_MERGER_H_
 #define POSTSPREAD_MEMBERSHIP_UPDATE_MERGER_H_
 
--- a/src/membership/view_sync.h
+++ b/src/membership/view_sync.h
@@ -26,7 +26,7 @@
  public:
   ViewSync(const Context& context, MemberTable& table);
 
-  // Handles the lower half of the hash of a datagram's sender. Returns whether the views differ.
+  // Handles the view hash in a datagram, the lower half of the sender's. Returns whether the views differ.
   bool OnViewHash(std::uint32_t remote_hash, TimePoint now);
   // Returns whether a new difference has been seen recently, so that exchanges are worth their cost.
   [[nodiscard]] bool IsSyncing(TimePoint now) const { return now < syncing_until_; }
@@ -58,7 +58,7 @@
   MemberTable& table_;
   std::deque<HashPair> known_differences_;
   TimePoint syncing_until_{0};
-  TimePoint differed_at_{0};  // It is 0 before the first difference.
+  TimePoint differed_at_{0};  // the time of the last difference; 0: none so far
   SyncPosition send_position_ = 0;
   std::array<SyncPosition, 2> receive_positions_{0, 0x8000};
 };
--- a/tests/idempotency/cluster_test.cpp
+++ b/tests/idempotency/cluster_test.cpp
@@ -121,7 +121,7 @@
     cluster.RunFor(milliseconds(500));
     cluster.Start(0);
     cluster.RunFor(seconds(1));
-    // Gateway 0 has forgotten the key of its earlier incarnation.
+    // Gateway 0 has lost its earlier incarnation's record of the key.
     const WaiterId after_restart = cluster.Send(0, "k");
     cluster.RunFor(seconds(8));
     CHECK(cluster.Executions("k") == 1);
@@ -132,7 +132,7 @@
   }
 }
 
-TEST_CASE("when a key's holder restarts and has forgotten the key, waiters on its peers resume at once") {
+TEST_CASE("when a key's holder restarts and has lost its record, waiters on its peers resume at once") {
   Cluster cluster(2, FastPeerLimits(), 3);
   cluster.upstream_behavior = [](const KeyId&, std::int64_t) {
     return UpstreamBehavior{.service_time = milliseconds(500)};
@@ -203,10 +203,10 @@
     return UpstreamBehavior{.service_time = seconds(2)};
   };
   const WaiterId first = cluster.Send(0, "k", seconds(8));
-  const WaiterId impatient = cluster.Send(0, "k", milliseconds(200));
+  const WaiterId early_deadline = cluster.Send(0, "k", milliseconds(200));
   cluster.RunFor(seconds(1));
-  CHECK(cluster.ResponseTo(impatient)->kind == ResponseKind::kUnknownOutcome);
-  CHECK(cluster.ResponseTo(impatient)->at <= cluster.ResponseTo(impatient)->deadline);
+  CHECK(cluster.ResponseTo(early_deadline)->kind == ResponseKind::kUnknownOutcome);
+  CHECK(cluster.ResponseTo(early_deadline)->at <= cluster.ResponseTo(early_deadline)->deadline);
   CHECK_FALSE(cluster.ResponseTo(first));
   cluster.RunFor(seconds(2));
   CHECK(cluster.ResponseTo(first)->kind == ResponseKind::kCompleted);
--- a/tests/idempotency/model.cpp
+++ b/tests/idempotency/model.cpp
@@ -27,7 +27,7 @@
   Key& key = found->second;
   if (key.body != request.body) {
     effects.insert(Effect("mismatch", request.waiter));
-  } else if (key.state == State::kAnswered && !key.value.empty()) {
+  } else if (key.state == State::kCompleted && !key.value.empty()) {
     effects.insert(Effect("complete", request.waiter, key.value));
   } else if (key.waiters.size() >= kMaxWaiters) {
     effects.insert(Effect("reject", request.waiter));
@@ -42,7 +42,7 @@
   Key& key = keys_.at(key_number);
   switch (result) {
     case WorkResult::kServed:
-      key.state = State::kAnswered;
+      key.state = State::kCompleted;
       key.value = value;
       RespondToAll(key, "complete", value, effects);
       return;
@@ -113,7 +113,7 @@
 }
 
 void ReplicaModel::Start(Key& key, bool resumed, Effects& effects) {
-  // Work runs under the latest deadline among the waiters; the earliest waiter wins a tie.
+  // The attempt runs for the waiter with the latest deadline; of equal deadlines the first waiter's counts.
   const auto longest = std::max_element(
       key.waiters.begin(), key.waiters.end(),
       [](const ModelWaiter& left, const ModelWaiter& right) { return left.deadline < right.deadline; });
--- a/tests/idempotency/model.h
+++ b/tests/idempotency/model.h
@@ -33,7 +33,7 @@
     TimePoint deadline{0};
     bool client_disconnected = false;
   };
-  enum class State { kRunning, kAnswered, kUnknownOutcome };
+  enum class State { kRunning, kCompleted, kUnknownOutcome };
   struct Key {
     State state = State::kRunning;
     int body = 0;
--- a/tests/idempotency/random_run_test.cpp
+++ b/tests/idempotency/random_run_test.cpp
@@ -1,4 +1,4 @@
-// Random runs of a simulated cluster: the promises in idempotency/replica.h hold under every seed, and the
+// Random runs of a simulated cluster: the guarantees in idempotency/replica.h hold under every seed, and the
 // runs detect violations when sticky placement is switched off.
 #include <catch2/catch.hpp>
 #include <ostream>
@@ -87,7 +87,7 @@
       .completed = history.CountResponses(ResponseKind::kCompleted)};
 }
 
-void CheckPromises(const RunOptions& options) {
+void CheckGuarantees(const RunOptions& options) {
   INFO(options.gateways << " gateways, seed " << options.seed);
   const RunResult result = RandomRun(options);
   CHECK(result.violations == Violations{});
@@ -99,18 +99,19 @@
   const NetworkFaults faults{
       .loss = 0.2, .duplication = 0.1, .min_delay = milliseconds(1), .max_delay = milliseconds(60)};
   // Seed 1662 failed once because a third gateway's newer report about a holder was treated as stale.
-  CheckPromises({.seed = 1662, .faults = faults});
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) CheckPromises({.seed = seed, .faults = faults});
+  CheckGuarantees({.seed = 1662, .faults = faults});
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) CheckGuarantees({.seed = seed, .faults = faults});
 }
 
 TEST_CASE(
-    "groups of two, four and five gateways with two or five replicas of each key keep the same promises") {
+    "groups of two, four and five gateways with two or five replicas of each key keep the same "
+    "guarantees") {
   for (const int gateways : {2, 4, 5}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      CheckPromises({.seed = seed,
-                     .faults = {.loss = 0.1},
-                     .gateways = gateways,
-                     .replicas = seed % 2 == 0 ? std::size_t{2} : std::size_t{5}});
+      CheckGuarantees({.seed = seed,
+                       .faults = {.loss = 0.1},
+                       .gateways = gateways,
+                       .replicas = seed % 2 == 0 ? std::size_t{2} : std::size_t{5}});
     }
   }
 }
--- a/tests/idempotency/request_history.h
+++ b/tests/idempotency/request_history.h
@@ -28,7 +28,7 @@
   TimePoint at{0}, deadline{0};
 };
 
-// Owned by the Cluster. Its counters report violations of the promises in idempotency/replica.h.
+// Owned by the Cluster. Its counters report violations of the guarantees in idempotency/replica.h.
 class RequestHistory {
  public:
   void OnRequest(WaiterId waiter, const KeyId& key, TimePoint deadline);
@@ -38,7 +38,7 @@
 
   [[nodiscard]] const KeyId& KeyOf(WaiterId waiter) const { return requests_.at(waiter).key; }
   [[nodiscard]] bool HasResponse(WaiterId waiter) const { return responses_.contains(waiter); }
-  // Returns the first response, or nothing while there is none.
+  // Returns the first response, or nullopt if there is none so far.
   [[nodiscard]] std::optional<ClientResponse> ResponseTo(WaiterId waiter) const;
   [[nodiscard]] int Executions(const KeyId& key) const;
   [[nodiscard]] int CountResponses(ResponseKind kind) const;
--- a/tests/membership/failure_detector_test.cpp
+++ b/tests/membership/failure_detector_test.cpp
@@ -21,7 +21,9 @@
   return values[std::min(values.size() - 1, rank)];
 }
 
-TEST_CASE("given no loss, a killed member is out of every view within 8 periods, seven in ten within 20") {
+TEST_CASE(
+    "given no loss, a killed member is out of every view within 8 periods, and seven in ten members "
+    "within 20") {
   std::vector<double> one;
   std::vector<double> many;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -175,7 +175,7 @@
   std::uint64_t bytes = 0;
   std::uint64_t largest_datagram = 0;  // bytes
   std::uint64_t deaths = 0;
-  std::uint64_t false_deaths = 0;  // The member was live and could be reached.
+  std::uint64_t false_deaths = 0;  // deaths of members that were live and could be reached
 
  private:
   static constexpr std::size_t kMaxInbox = 256;  // datagrams
@@ -186,11 +186,11 @@
   };
   struct Process {
     std::unique_ptr<Membership> member;
-    // It grows with each start and exit, so that events of an earlier process are ignored.
+    // The generation grows with each start and exit, so that events of an earlier process are ignored.
     std::uint64_t generation = 0;
     Duration skew{0};
     bool suspended = false;
-    std::vector<Delivery> inbox;  // It holds the datagrams that arrive while the process is suspended.
+    std::vector<Delivery> inbox;  // the datagrams that arrive while the process is suspended
     TimePoint next_tick{0};
   };
   struct Event {
--- a/tests/membership/types_test.cpp
+++ b/tests/membership/types_test.cpp
@@ -31,8 +31,8 @@
   }));
 }
 
-// OrderSearch lets three members receive updates about a fourth in every order, each update by any subset of
-// them, and then synchronize. The merge is inconsistent if the results differ.
+// OrderSearch lets three members receive updates about a fourth in every order, each update by any non-empty
+// subset of them, and then synchronize. The merge is inconsistent if the results differ.
 class OrderSearch {
  public:
   using MergeFunction = MemberUpdate (*)(const MemberUpdate&, const MemberUpdate&);
