--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,7 +55,7 @@
   return joined;
 }
 
-// Logs settings that have no effect, as an operator may assume that they have one.
+// Logs settings with unknown names, which have no effect although an operator may expect one.
 void LogUnknown(const config::Config& config) {
   if (!config.unknown_keys.empty()) net::Log("unknown configuration keys", Join(config.unknown_keys));
   const std::vector<std::string> variables = UnknownVariables();
@@ -100,14 +100,15 @@
     }
   }
   if (!operator_config.idempotency.enabled) return;
-  for (const postspread::ClassSettings& cls : config.settings.classes) {
-    if (cls.retry_safety != postspread::RetrySafety::kIdempotencyKey ||
-        operator_config.idempotency.keep >= cls.key_ttl)
+  for (const postspread::ClassSettings& class_settings : config.settings.classes) {
+    if (class_settings.retry_safety != postspread::RetrySafety::kIdempotencyKey ||
+        operator_config.idempotency.keep >= class_settings.key_ttl)
       continue;
-    throw config::ConfigError("idempotency.keep is shorter than the KeyTtl of class \"" + cls.name + "\", " +
-                              std::to_string(cls.key_ttl.count() / 1000) + "ms");
+    throw config::ConfigError("idempotency.keep is shorter than the KeyTtl of class \"" +
+                              class_settings.name + "\", " +
+                              std::to_string(class_settings.key_ttl.count() / 1000) + "ms");
   }
-  config::ToPeers(config);
+  config::ToPeers(config);  // Throws ConfigError if the peers are invalid.
 }
 
 // In test builds, an environment variable may disable one defense, to verify that the tests depend on it.
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -104,7 +104,8 @@
 
 AdminServer::AdminServer(event_base* base, const config::Address& listen, ops::AdminHandler& handler)
     : base_(base), handler_(handler), watch_retry_(base, [this] { WatchAll(); }) {
-  // evconnlistener has no event priority, but calls must be accepted even when the loop is busy.
+  // The server does not use evconnlistener, which has no event priority: calls must be accepted even when the
+  // loop is busy.
   OpenWithRetries([&] {
     fd_ = socket(listen.get()->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     return fd_ >= 0;
--- a/src/net/gateway/admission_control.h
+++ b/src/net/gateway/admission_control.h
@@ -16,7 +16,7 @@
 namespace postspread::net {
 
 struct AdmissionDecision {
-  // This is empty where the request is admitted.
+  // This is empty if the request is admitted.
   std::optional<ops::RejectReason> rejected;
   // An admitted request has this much of its timeout left.
   std::chrono::milliseconds timeout{0};
--- a/src/net/gateway/counter_connections.h
+++ b/src/net/gateway/counter_connections.h
@@ -24,7 +24,7 @@
   // Executes the call and reports its result to the planner. Results for one name are reported in the order
   // of the calls.
   void Call(planner::CallCounter call);
-  // Dials `address` and retires the former connection. Does nothing where no counter is configured.
+  // Dials `address` and retires the former connection. Does nothing if no counter is configured.
   void ChangeAddress(const config::Address& address);
   // Returns whether the counter is connected, or no counter is configured.
   [[nodiscard]] bool IsConnected() const { return connections_.empty() || connections_.back().up(); }
--- a/src/net/gateway/gateway_setup.cpp
+++ b/src/net/gateway/gateway_setup.cpp
@@ -35,29 +35,31 @@
 }
 
 std::optional<config::Peers> ToPeerGroup(const config::Config& config,
-                                         const operator_file::OperatorFile& operators) {
-  const bool membership = operators.membership.enabled && operators.membership.listen.empty();
-  if (!operators.idempotency.enabled && !operators.usage.broadcast && !membership) return std::nullopt;
+                                         const operator_file::OperatorFile& operator_config) {
+  const bool membership = operator_config.membership.enabled && operator_config.membership.listen.empty();
+  if (!operator_config.idempotency.enabled && !operator_config.usage.broadcast && !membership)
+    return std::nullopt;
   return config::ToPeers(config);
 }
 
 planner::PlannerOptions ToPlannerOptions(const config::Config& config,
-                                         const operator_file::OperatorFile& operators,
+                                         const operator_file::OperatorFile& operator_config,
                                          membership::DisabledDefense disabled) {
-  const std::optional<config::Peers> peers = ToPeerGroup(config, operators);
+  const std::optional<config::Peers> peers = ToPeerGroup(config, operator_config);
   planner::PlannerOptions options;
-  options.idempotency = operators.idempotency;
-  options.usage = operators.usage;
+  options.idempotency = operator_config.idempotency;
+  options.usage = operator_config.usage;
   options.has_peers = peers.has_value();
-  options.membership = operators.membership;
-  options.subsetting = operators.subsetting;
+  options.membership = operator_config.membership;
+  options.subsetting = operator_config.subsetting;
   options.name = config.name;
   options.may_have_successor = config.inherited.has_value();
   options.disabled = disabled;
-  if (!operators.membership.enabled) return options;
-  if (!operators.membership.listen.empty()) {
-    options.peer = ParsePeerId(operators.membership.listen);
-    for (const std::string& seed : operators.membership.seeds) options.seeds.push_back(ParsePeerId(seed));
+  if (!operator_config.membership.enabled) return options;
+  if (!operator_config.membership.listen.empty()) {
+    options.peer = ParsePeerId(operator_config.membership.listen);
+    for (const std::string& seed : operator_config.membership.seeds)
+      options.seeds.push_back(ParsePeerId(seed));
   } else if (peers) {
     options.peer = static_cast<membership::PeerId>(config.settings.rank);
     for (std::size_t rank = 0; rank < peers->by_rank.size(); ++rank) options.seeds.push_back(rank);
--- a/src/net/gateway/gateway_setup.h
+++ b/src/net/gateway/gateway_setup.h
@@ -17,12 +17,12 @@
 // Returns the names and bounds that clients' commands are checked against.
 resp::Vocabulary ToVocabulary(const Settings& settings);
 
-// Returns the gateways of this group, or nothing where no feature that sends datagrams to them is enabled.
+// Returns the gateways of this group, or nothing if no feature that sends datagrams to them is enabled.
 std::optional<config::Peers> ToPeerGroup(const config::Config& config,
-                                         const operator_file::OperatorFile& operators);
+                                         const operator_file::OperatorFile& operator_config);
 
 planner::PlannerOptions ToPlannerOptions(const config::Config& config,
-                                         const operator_file::OperatorFile& operators,
+                                         const operator_file::OperatorFile& operator_config,
                                          membership::DisabledDefense disabled);
 
 flow::ResourcePartition ToResourcePartition(const config::Config& config);
--- a/src/net/gateway/graceful_shutdown.cpp
+++ b/src/net/gateway/graceful_shutdown.cpp
@@ -56,8 +56,8 @@
 void GracefulShutdown::Finish() {
   collaborators_.idempotency_log.LogChanges();
   safety::RuleCounts& rules = collaborators_.metrics.rules;
-  const std::size_t unanswered = collaborators_.in_flight.Awaited().size();
-  for (std::size_t i = 0; i < unanswered; ++i) rules.Violated(safety::Rule::kResponseBeforeExit);
+  const std::size_t awaited = collaborators_.in_flight.Awaited().size();
+  for (std::size_t i = 0; i < awaited; ++i) rules.Violated(safety::Rule::kResponseBeforeExit);
   for (std::size_t i = 0; i < safety::kRules; ++i) {
     const std::uint64_t count = rules.violated[i];
     if (count == 0) continue;
--- a/src/net/gateway/graceful_shutdown.h
+++ b/src/net/gateway/graceful_shutdown.h
@@ -39,7 +39,7 @@
   };
   GracefulShutdown(event_base* base, ListenSocket listen_socket, const Collaborators& collaborators);
 
-  // Begins the shutdown. Does nothing where it has begun.
+  // Begins the shutdown. Does nothing if it has begun.
   void Start();
 
  private:
--- a/src/net/gateway/idempotency_log.h
+++ b/src/net/gateway/idempotency_log.h
@@ -8,7 +8,7 @@
 
 namespace postspread::net {
 
-// Logs what the idempotency store did, at most once an interval. Does nothing where the store is disabled.
+// Logs what the idempotency store did, at most once an interval. Does nothing if the store is disabled.
 class IdempotencyLog {
  public:
   IdempotencyLog(event_base* base, planner::Planner& planner);
--- a/src/net/gateway/in_flight_requests.h
+++ b/src/net/gateway/in_flight_requests.h
@@ -22,7 +22,7 @@
   RetrySafety retry_safety = RetrySafety::kIdempotent;
   // The index is the attempt number.
   std::vector<safety::EarlierAttempt> attempts{};
-  // This is null where the client has disconnected and other requests need the result.
+  // This is null if the client has disconnected and other requests need the result.
   ResponseWriter* writer = nullptr;
   ResponseWriter::Slot slot = 0;
   // These are the metrics of the request's class.
@@ -37,14 +37,14 @@
   InFlightRequests(flow::ByteBudget& requests, flow::ByteBudget& large_requests)
       : requests_budget_(requests), large_requests_budget_(large_requests) {}
 
-  // Reserves the bytes of a request before it is added. Returns false where the budget is used up.
+  // Reserves the bytes of a request before it is added. Returns false if the budget is used up.
   bool Reserve(const resp::EncodedRequest& encoded);
   // Adds a request whose bytes have been reserved.
   void Add(RequestId id, InFlightRequest request);
-  // Returns null where the request is not in flight. The pointer is valid until the request is released.
+  // Returns null if the request is not in flight. The pointer is valid until the request is released.
   [[nodiscard]] InFlightRequest* Find(RequestId id);
   // Removes the request and releases its bytes. The caller must send its final response. Returns nothing
-  // where the request has ended before.
+  // if the request has ended before.
   std::optional<InFlightRequest> Release(RequestId id);
 
   [[nodiscard]] std::size_t size() const { return in_flight_.size(); }
--- a/src/net/gateway/peer_datagrams.cpp
+++ b/src/net/gateway/peer_datagrams.cpp
@@ -8,17 +8,17 @@
 
 namespace postspread::net {
 
-void PeerDatagrams::Open(event_base* base, const operator_file::OperatorFile& operators) {
+void PeerDatagrams::Open(event_base* base, const operator_file::OperatorFile& operator_config) {
   const auto sharing =
       config_.inherited ? PeerLink::AddressSharing::kShared : PeerLink::AddressSharing::kExclusive;
-  if (std::optional<config::Peers> peers = ToPeerGroup(config_, operators)) {
+  if (std::optional<config::Peers> peers = ToPeerGroup(config_, operator_config)) {
     group_.emplace(base, peers->listen, std::move(peers->by_rank), std::move(peers->all), sharing,
                    [this](int rank, std::string_view bytes) {
                      driver_.Report(planner::PeerReport{rank, std::string(bytes)});
                    });
   }
-  if (operators.membership.enabled && !operators.membership.listen.empty()) {
-    membership_.emplace(base, *config::Address::Parse(operators.membership.listen), sharing,
+  if (operator_config.membership.enabled && !operator_config.membership.listen.empty()) {
+    membership_.emplace(base, *config::Address::Parse(operator_config.membership.listen), sharing,
                         [this](std::uint64_t peer, std::string_view bytes) {
                           driver_.Report(planner::MembershipReport{peer, std::string(bytes)});
                         });
--- a/src/net/gateway/peer_datagrams.h
+++ b/src/net/gateway/peer_datagrams.h
@@ -24,8 +24,8 @@
       : config_(config), driver_(driver), budget_(config.settings.peer_messages_per_second) {}
 
   // Opens the sockets that the operator file requires; before that, nothing is sent. Throws
-  // std::runtime_error where an address can't be bound.
-  void Open(event_base* base, const operator_file::OperatorFile& operators);
+  // std::runtime_error if an address can't be bound.
+  void Open(event_base* base, const operator_file::OperatorFile& operator_config);
 
   void Send(const planner::SendDatagram& datagram);
   void Send(const planner::SendMembershipDatagram& datagram);
@@ -41,7 +41,7 @@
   flow::DatagramBudget budget_;
   // This socket exchanges datagrams with the gateways of this group, which are identified by rank.
   std::optional<PeerLink> group_;
-  // This socket exists where the membership view has a socket of its own.
+  // This socket exists if the membership view has a socket of its own.
   std::optional<PeerLink> membership_;
 };
 
--- a/src/net/gateway/planner_driver.h
+++ b/src/net/gateway/planner_driver.h
@@ -28,7 +28,7 @@
  public:
   PlannerDriver(event_base* base, planner::Planner& planner, ActionExecutor& executor);
 
-  // Delivers the report at once, or after the current batch of actions where one is being executed.
+  // Delivers the report at once, or after the current batch of actions if one is being executed.
   void Report(planner::ReportValue report);
   // Calls `change`, and delivers `report` before any report that is made from within `change`.
   void ReportBefore(planner::ReportValue report, const std::function<void()>& change);
--- a/src/net/gateway/response_streams.h
+++ b/src/net/gateway/response_streams.h
@@ -34,13 +34,13 @@
   [[nodiscard]] std::size_t Capacity(RequestId request) const;
   // Moves `size` bytes from the front of `from` to the client's connection.
   void Write(RequestId request, evbuffer* from, std::size_t size);
-  // Complete ends the response after its last byte, and Abort ends it where the value broke off. Both count
+  // Complete ends the response after its last byte, and Abort ends it if the value broke off. Both count
   // the request.
   void Complete(RequestId request);
   void Abort(RequestId request);
   // Resumes reading from the upstream, since the client's connection has capacity again.
   void Resume(RequestId request);
-  // Closes the upstream connection of a stream whose client has disconnected. Returns false where the request
+  // Closes the upstream connection of a stream whose client has disconnected. Returns false if the request
   // has no stream.
   bool Cancel(RequestId request);
 
--- a/src/net/gateway_server.cpp
+++ b/src/net/gateway_server.cpp
@@ -21,12 +21,12 @@
 }  // namespace
 
 GatewayServer::GatewayServer(event_base* base, const config::Config& config,
-                             const operator_file::OperatorFile& operators,
+                             const operator_file::OperatorFile& operator_config,
                              membership::DisabledDefense disabled)
     : config_(config),
-      operators_(operators),
+      operator_config_(operator_config),
       planner_(config.settings, config.seed, WallNow(), Clock::now(),
-               ToPlannerOptions(config, operators, disabled)),
+               ToPlannerOptions(config, operator_config, disabled)),
       partition_(ToResourcePartition(config)),
       request_budget_(partition_.request_bytes),
       large_request_budget_(partition_.large_request_bytes),
@@ -87,7 +87,7 @@
                       .streams = streams_,
                       .peers = peers_,
                       .metrics = metrics_}) {
-  peers_.Open(base, operators);
+  peers_.Open(base, operator_config);
   idempotency_log_.Start();
   if (planner_.membership() != nullptr) driver_.ArmTick();
   RegisterClassMetrics();
@@ -100,17 +100,17 @@
 }
 
 ReloadResult GatewayServer::Reload(const config::Config& config,
-                                   const operator_file::OperatorFile& operators) {
+                                   const operator_file::OperatorFile& operator_config) {
   if (config.counter) counters_.ChangeAddress(*config.counter);
   if (!(discovery_.address() == config.discovery)) discovery_.ChangeAddress(config.discovery);
-  planner_.SetLimits(operators.idempotency, operators.membership);
+  planner_.SetLimits(operator_config.idempotency, operator_config.membership);
   ++metrics_.config_reloads;
   Settings settings = config.settings;
-  const bool plans_unchanged = planner_.Reconfigure(settings);
-  if (plans_unchanged) settings.plans = config_.settings.plans;
+  const bool plans_ignored = planner_.Reconfigure(settings);
+  if (plans_ignored) settings.plans = config_.settings.plans;
   clients_.SetVocabulary(ToVocabulary(settings));
   const bool needs_restart =
-      plans_unchanged || NeedsRestart(config_, config) || NeedsRestart(operators_, operators);
+      plans_ignored || NeedsRestart(config_, config) || NeedsRestart(operator_config_, operator_config);
   peers_.SetRate(config.settings.peer_messages_per_second);
   config_.settings = std::move(settings);
   config_.keys = config.keys;
--- a/src/net/gateway_server.h
+++ b/src/net/gateway_server.h
@@ -42,13 +42,13 @@
  public:
   // Starts to listen. Throws std::runtime_error if a socket can't be opened.
   GatewayServer(event_base* base, const config::Config& config,
-                const operator_file::OperatorFile& operators = {},
+                const operator_file::OperatorFile& operator_config = {},
                 membership::DisabledDefense disabled = membership::DisabledDefense::kNothing);
   GatewayServer(const GatewayServer&) = delete;
   GatewayServer& operator=(const GatewayServer&) = delete;
 
   // Applies a valid configuration. Requests in flight, the endpoint list and all statistics are kept.
-  ReloadResult Reload(const config::Config& config, const operator_file::OperatorFile& operators = {});
+  ReloadResult Reload(const config::Config& config, const operator_file::OperatorFile& operator_config = {});
   // Counts a new configuration that was rejected.
   void OnReloadRejected() { ++metrics_.config_reload_errors; }
   // Returns the configuration that is in effect.
@@ -62,7 +62,7 @@
   void RegisterClassMetrics();
 
   config::Config config_;
-  const operator_file::OperatorFile operators_;  // as read at startup
+  const operator_file::OperatorFile operator_config_;  // as read at startup
   planner::Planner planner_;
   const flow::ResourcePartition partition_;
   flow::ByteBudget request_budget_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -165,8 +165,8 @@
 
 void ReadNow(bufferevent* connection, std::size_t max_size) {
   evbuffer* input = bufferevent_get_input(connection);
-  // A bufferevent freezes the end of its input buffer except during its own reads. The bufferevent also
-  // reports the end of the stream and errors.
+  // A bufferevent freezes the end of its input buffer except during its own reads. An end of the
+  // stream or an error is left to the bufferevent's next read, which reports it.
   evbuffer_unfreeze(input, /*at_front=*/0);
   evbuffer_read(input, bufferevent_getfd(connection), static_cast<int>(max_size));
   evbuffer_freeze(input, /*at_front=*/0);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -101,7 +101,7 @@
 // event loop.
 void ReadNow(bufferevent* connection, std::size_t max_size);
 // Returns whether the other end has shut down its sending side or the connection has failed, even if bytes
-// before that are unread.
+// that arrived earlier are unread.
 bool HungUp(bufferevent* connection);
 // Returns whether the socket has bytes, an end of stream or an error that the event loop has not read yet.
 bool HasUnreadInput(bufferevent* connection);
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -12,7 +12,8 @@
 namespace postspread::net {
 namespace {
 
-// Gateways send no longer datagrams; a longer one is truncated and then rejected.
+// Gateways never send a datagram above this size. A larger one is truncated when it is received, and then
+// rejected.
 constexpr std::size_t kMaxDatagramBytes = 1'500;
 constexpr unsigned kMaxDatagramsPerIteration = 16;  // before the event loop serves other sockets
 constexpr int kPortBits = 16;
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -32,7 +32,7 @@
   // std::runtime_error if `listen` can't be bound.
   PeerLink(event_base* base, const config::Address& listen, std::vector<config::Address> peers,
            std::optional<config::Address> group_address, AddressSharing sharing, OnDatagram on_datagram);
-  // Receives datagrams from any IPv4 address. PeerIdOf defines the sender's number.
+  // Receives datagrams from any IPv4 address. PeerIdOf of its address identifies the sender.
   PeerLink(event_base* base, const config::Address& listen, AddressSharing sharing,
            OnPeerDatagram on_peer_datagram);
   ~PeerLink();
@@ -41,6 +41,7 @@
 
   // Sends to the gateway of a rank. Does nothing if the rank is unknown.
   void Send(int rank, std::string_view bytes);
+  // Sends to the IPv4 address and port for which PeerIdOf returns `peer`.
   void SendTo(std::uint64_t peer, std::string_view bytes);
   // Sends to every other gateway of the group: one datagram to the group address if there is one, else one to
   // each peer.
@@ -48,7 +49,7 @@
 
   // Returns an IPv4 address and its port as one number.
   static std::uint64_t PeerIdOf(const sockaddr_in& address);
-  // Formats a number of PeerIdOf as "address:port".
+  // Formats a result of PeerIdOf as "address:port".
   static std::string FormatPeerId(std::uint64_t peer);
 
  private:
--- a/src/ops/admin_calls.h
+++ b/src/ops/admin_calls.h
@@ -30,7 +30,7 @@
   virtual Readiness CheckReadiness() = 0;
   // Returns the metrics in the text format of Prometheus.
   virtual std::string Metrics() = 0;
-  // Returns the membership view as JSON, or an empty string where membership is disabled.
+  // Returns the membership view as JSON, or an empty string if membership is disabled.
   virtual std::string Membership() = 0;
   // Drain and Activate return whether the call took effect.
   virtual AdminResult Drain() = 0;
--- a/src/ops/lifecycle.h
+++ b/src/ops/lifecycle.h
@@ -37,7 +37,7 @@
   void BeginShutdown(Clock::time_point now);
 
   [[nodiscard]] State state() const;
-  // After BeginShutdown: returns when the last response must be sent, even where its request has no result.
+  // After BeginShutdown: returns when the last response must be sent, even if its request has no result.
   // The time from SIGTERM until the platform may kill the process is the longest deadline, but at most 3 s,
   // plus 0.7 s.
   [[nodiscard]] Clock::time_point ResponseDeadline(std::chrono::microseconds longest_deadline) const;
--- a/src/ops/metrics.h
+++ b/src/ops/metrics.h
@@ -52,7 +52,7 @@
 // Returns the label value of a reason; label values must not change.
 std::string_view Name(RejectReason reason);
 
-// Contains the counters of the process; its parts increment them.
+// Contains the counters of the process; the parts of the gateway increment them.
 struct Metrics {
   // The key is the class name. An entry is created when a configuration first names the class, and stays
   // until the process exits; its address never changes.
@@ -75,7 +75,7 @@
 
   void CountClosed(CloseReason reason) { ++connections_closed[static_cast<std::size_t>(reason)]; }
   void CountRejected(RejectReason reason) { ++rejections[static_cast<std::size_t>(reason)]; }
-  // Returns the entry of the class `name`, and creates it where there is none.
+  // Returns the entry of the class `name`, and creates it if there is none.
   ClassMetrics& ForClass(std::string_view name) {
     const auto found = classes.find(name);
     return found != classes.end() ? found->second : classes.try_emplace(std::string(name)).first->second;
@@ -109,7 +109,7 @@
   std::size_t members = 0;
   // Counts upstreams in the endpoint list that the planner avoids now.
   std::size_t members_unavailable = 0;
-  // This is empty where membership is disabled.
+  // This is empty if membership is disabled.
   std::optional<MembershipMetrics> membership{};
 };
 
--- a/src/planner/event_translation.cpp
+++ b/src/planner/event_translation.cpp
@@ -119,21 +119,21 @@
 }
 
 EndpointListEvent ToEvent(EndpointListReport&& report) {
-  auto servers = std::make_shared<std::vector<EndpointInfo>>();
-  servers->reserve(report.upstreams.size());
+  auto endpoints = std::make_shared<std::vector<EndpointInfo>>();
+  endpoints->reserve(report.upstreams.size());
   for (Upstream& upstream : report.upstreams) {
-    servers->push_back(EndpointInfo{.id = std::move(upstream.name),
-                                    .zone = std::move(upstream.zone),
-                                    .kind = std::move(upstream.kind),
-                                    .cell = upstream.cell,
-                                    .state = ToState(upstream.state),
-                                    .weight = upstream.weight,
-                                    .started = upstream.started});
+    endpoints->push_back(EndpointInfo{.id = std::move(upstream.name),
+                                      .zone = std::move(upstream.zone),
+                                      .kind = std::move(upstream.kind),
+                                      .cell = upstream.cell,
+                                      .state = ToState(upstream.state),
+                                      .weight = upstream.weight,
+                                      .started = upstream.started});
   }
   EndpointListEvent event;
   event.kind = ToListKind(report.kind);
   event.version = report.index;
-  event.upstreams = std::move(servers);
+  event.upstreams = std::move(endpoints);
   return event;
 }
 
--- a/src/planner/idempotency_adapter.cpp
+++ b/src/planner/idempotency_adapter.cpp
@@ -163,7 +163,7 @@
   return event;
 }
 
-KeyBinding IdempotencyAdapter::ToKeyPin(const idempotency::StickyPlacement& placement) const {
+KeyBinding IdempotencyAdapter::ToKeyBinding(const idempotency::StickyPlacement& placement) const {
   KeyBinding out;
   out.may_have_run = placement.may_have_run;
   out.age = placement.age;
@@ -185,7 +185,7 @@
 
 void IdempotencyAdapter::Translate(idempotency::StartRequest&& action, TimePoint now) {
   RequestEvent event = ToEvent(action.work, action.waiter, action.deadline - now);
-  event.key_binding = ToKeyPin(action.placement);
+  event.key_binding = ToKeyBinding(action.placement);
   controller_.Begin(std::move(event), now);
 }
 
--- a/src/planner/idempotency_adapter.h
+++ b/src/planner/idempotency_adapter.h
@@ -65,7 +65,7 @@
   [[nodiscard]] std::optional<idempotency::KeyedRequest> ToKeyedRequest(const Request& request, RequestId id,
                                                                         TimePoint now) const;
   [[nodiscard]] RequestEvent ToEvent(const idempotency::Work& work, RequestId id, Duration time_left) const;
-  [[nodiscard]] KeyBinding ToKeyPin(const idempotency::StickyPlacement& placement) const;
+  [[nodiscard]] KeyBinding ToKeyBinding(const idempotency::StickyPlacement& placement) const;
   void RefreshGroups(TimePoint now);
   void Apply(idempotency::Actions actions, TimePoint now);
   void Translate(idempotency::StartRequest&& action, TimePoint now);
--- a/src/planner/membership_adapter.h
+++ b/src/planner/membership_adapter.h
@@ -28,7 +28,8 @@
 
   void SetLimits(const membership::Limits& limits) { membership_.SetLimits(limits); }
 
-  // membership::Membership documents these functions.
+  // These call their counterparts in membership::Membership, and append the resulting actions. HandleDatagram
+  // returns false, and does nothing, if the datagram belongs to another subsystem.
   bool HandleDatagram(membership::PeerId from, std::string_view bytes, TimePoint now);
   void Leave(TimePoint now);
   void Tick(TimePoint now);
--- a/src/planner/usage_adapter.h
+++ b/src/planner/usage_adapter.h
@@ -19,10 +19,11 @@
   // The adapter appends to `actions`, the result of the planner's current call, which must outlive it.
   UsageAdapter(const usage::UsageOptions& options, TimePoint now, std::vector<Action>& actions);
 
-  // usage::UsageTable documents these functions.
+  // These call their counterparts in usage::UsageTable, with the customer's digest for its name.
   void SetGroup(int size) { table_.SetGroup(size); }
   void Observe(std::string_view customer, double demand, TimePoint now);
   [[nodiscard]] double Demand(std::string_view customer, TimePoint now) const;
+  // Returns false, and ignores the datagram, if it belongs to another subsystem.
   bool HandleDatagram(std::string_view bytes, TimePoint now) { return table_.Received(bytes, now); }
 
   // Broadcasts the usage that is due.
--- a/tests/ops/ops_test.cpp
+++ b/tests/ops/ops_test.cpp
@@ -14,7 +14,7 @@
 using Dependencies = Lifecycle::Dependencies;
 const Lifecycle::Clock::time_point kNow{std::chrono::hours(5)};
 
-TEST_CASE("given calls in any order, the lifecycle is in the right state") {
+TEST_CASE("given drain and activate calls in any order, each takes effect unless a shutdown has begun") {
   Lifecycle lifecycle;
   CHECK(lifecycle.state() == State::kStarting);
   // A drain that begins before the dependencies are available goes on when they are.
@@ -36,7 +36,7 @@
   CHECK(lifecycle.CommandDeadline(milliseconds(8'000)) == kNow + milliseconds(2'000));
 }
 
-TEST_CASE("given a drain, connections are closed spread over its time, after new clients cease to come") {
+TEST_CASE("when a gateway drains, connections close spread over time, after new clients cease to arrive") {
   for (std::size_t i = 1; i < 400; ++i)
     CHECK(kOperatorDrain.CloseDelay(i - 1, 400) <= kOperatorDrain.CloseDelay(i, 400));
   // Half of the connections are closed later than this.
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -34,16 +34,16 @@
   site.Start(1);
   CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 0);
   CHECK(site.Metric("svc_members") == 1);
-  Site::InFlightRequest held = site.StartRequest("a");
+  Site::InFlightRequest in_flight = site.StartRequest("a");
   CHECK(site.Metric("svc_pending") == 1);
-  held.Serve();
-  held.client.Send(Read("b"));
+  in_flight.Serve();
+  in_flight.client.Send(Read("b"));
   site.Grant();
-  held.upstream.Command();
-  held.upstream.Send("-BUSY\r\n");
-  CHECK(held.client.Line() == "-BUSY\r\n");
-  held.client.Send(Command({"API.READ", "x"}));  // This command is not a request of any class.
-  held.client.Line();
+  in_flight.upstream.Command();
+  in_flight.upstream.Send("-BUSY\r\n");
+  CHECK(in_flight.client.Line() == "-BUSY\r\n");
+  in_flight.client.Send(Command({"API.READ", "x"}));  // This command is not a request of any class.
+  in_flight.client.Line();
   CHECK(site.Metric("svc_completed{lane=\"lookup\"}") == 1);
   CHECK(site.Metric("svc_rejected{lane=\"lookup\"}") == 1);
   CHECK(site.Metric("svc_failed{lane=\"lookup\"}") == 0);
@@ -74,7 +74,7 @@
   CHECK(site.Metric("svc_upstream_requests") == 0);
 }
 
-TEST_CASE("given a drain, the gateway is not ready, still serving, and closes connections between requests") {
+TEST_CASE("given a drain, the gateway is not ready, still serves, and closes connections between requests") {
   Site site(1, {{"ops", true}});
   site.Start(1);
   Peer idle = site.Client();
--- a/tests/planner/planner_test.cpp
+++ b/tests/planner/planner_test.cpp
@@ -17,21 +17,22 @@
 
 TEST_CASE("when an attempt has failed to connect, the planner retries the request at another upstream") {
   PlannerFixture fixture;
-  const RequestId number = fixture.Pick();
+  const RequestId request_id = fixture.Pick();
   const auto first = fixture.OnlyAction<StartAttempt>();
   REQUIRE(first);
-  CHECK(first->request == number);
+  CHECK(first->request == request_id);
   CHECK(first->attempt == 0);
   CHECK(first->timeout == milliseconds(1990));
   fixture.Report(
-      AttemptReport{number, 0, first->upstream, AttemptResult::kConnectFailed, microseconds(9), {}});
+      AttemptReport{request_id, 0, first->upstream, AttemptResult::kConnectFailed, microseconds(9), {}});
   const auto second = fixture.OnlyAction<StartAttempt>();
   REQUIRE(second);
   CHECK(second->attempt == 1);
   CHECK(second->upstream != first->upstream);
-  fixture.Report(AttemptReport{number, 1, second->upstream, AttemptResult::kSucceeded, microseconds(9), {}});
+  fixture.Report(
+      AttemptReport{request_id, 1, second->upstream, AttemptResult::kSucceeded, microseconds(9), {}});
   CHECK(fixture.last_actions.empty());
-  CHECK(fixture.Pick() != number);
+  CHECK(fixture.Pick() != request_id);
 }
 
 TEST_CASE(
@@ -60,28 +61,28 @@
 TEST_CASE("when no upstream responds, the planner rejects the request before its client's timeout") {
   PlannerFixture fixture;
   const auto started = fixture.now;
-  const RequestId number = fixture.Pick();
+  const RequestId request_id = fixture.Pick();
   bool is_rejected = false;
   while (!is_rejected && fixture.planner.NextTick() && *fixture.planner.NextTick() <= started + seconds(3)) {
     fixture.TickUntil(started + seconds(3));
     for (const Action& action : fixture.last_actions) {
       const auto* rejection = std::get_if<RejectWithRetryAfter>(&action);
-      is_rejected |= rejection != nullptr && rejection->request == number;
+      is_rejected |= rejection != nullptr && rejection->request == request_id;
     }
   }
   CHECK(is_rejected);
-  CHECK(fixture.now - started <=
-        milliseconds(1990));  // The network margin is left for the response to reach the client.
+  // The network margin of 10 ms is left for the response to reach the client.
+  CHECK(fixture.now - started <= milliseconds(1990));
 }
 
 TEST_CASE("when a client disconnects, the planner cancels the attempt of its request") {
   PlannerFixture fixture;
-  const RequestId number = fixture.Pick();
-  fixture.Report(ClientDisconnected{number});
+  const RequestId request_id = fixture.Pick();
+  fixture.Report(ClientDisconnected{request_id});
   const auto cancellation = fixture.OnlyAction<CancelAttempt>();
   REQUIRE(cancellation);
-  CHECK(cancellation->request == number);
-  fixture.Report(AttemptReport{number, 0, "a", AttemptResult::kCancelled, microseconds(9), {}});
+  CHECK(cancellation->request == request_id);
+  fixture.Report(AttemptReport{request_id, 0, "a", AttemptResult::kCancelled, microseconds(9), {}});
   CHECK(fixture.last_actions.empty());
 }
 
--- a/tests/planner/start_times_test.cpp
+++ b/tests/planner/start_times_test.cpp
@@ -58,9 +58,8 @@
 }
 
 TEST_CASE(
-    "when a removed upstream is listed again with the same start, its estimate stays, and a new start "
-    "changes "
-    "it") {
+    "when a removed upstream is listed again, its estimate stays for the same start and changes for a new "
+    "one") {
   StartTimes starts;
   const microseconds first = Estimate(starts, EndpointUpdateKind::kSnapshot, kNow - seconds(30), kNow);
   EndpointListReport removal =
--- a/tests/planner/subsystems_test.cpp
+++ b/tests/planner/subsystems_test.cpp
@@ -156,8 +156,8 @@
   CHECK_FALSE(gateways.StartsAtOnce("k3"));
 }
 
-// Returns the upstreams that 60 concurrent requests go to. Completes these requests and advances
-// `now` by two seconds.
+// Returns the upstreams that 60 concurrent requests go to. Completes these requests and advances `now` by two
+// seconds.
 std::set<std::string> UsedUpstreams(Planner& planner, Clock::time_point& now) {
   std::set<std::string> used;
   std::vector<AttemptReport> reports;
