--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -134,10 +134,11 @@
   out.name = VariableOrMember(from, "name", environment, "ROUTER_NAME");
   if (out.name.empty()) throw ConfigError("\"name\" is missing");
   out.listen = ToAddress(VariableOrMember(from, "listen", environment, "ROUTER_LISTEN"), "listen");
-  const bool file_wins = discovery == Discovery::kFromFile && !TextOr(from, "discovery").empty();
-  out.discovery = ToAddress(file_wins ? TextOr(from, "discovery")
-                                      : VariableOrMember(from, "discovery", environment, "ROUTER_DISCOVERY"),
-                            "discovery");
+  const bool prefers_file = discovery == Discovery::kFromFile && !TextOr(from, "discovery").empty();
+  out.discovery =
+      ToAddress(prefers_file ? TextOr(from, "discovery")
+                             : VariableOrMember(from, "discovery", environment, "ROUTER_DISCOVERY"),
+                "discovery");
   const std::string ops = VariableOrMember(from, "ops", environment, "ROUTER_OPS");
   if (!ops.empty()) out.ops = ToAddress(ops, "ops");
   out.inherited = InheritedSocket(environment);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -35,10 +35,10 @@
   std::string peer_listen;
   std::vector<std::string> peers;
   std::string peers_all;
-  std::optional<int> inherited;  // an open listening socket for clients; absent: the gateway opens one
+  std::optional<int> inherited;  // descriptor of the clients' listening socket; absent: the gateway opens one
   std::uint64_t seed = 0;        // the seed of all random numbers
   std::size_t memory_mb = 192;
-  std::size_t sockets = 1024;
+  std::size_t sockets = 1024;     // maximum of file descriptors
   EndpointList cached_endpoints;  // the endpoint list that the platform cached last
   Settings settings;
   std::chrono::microseconds upstream_idle{0};  // idle time after which an upstream closes a connection
@@ -55,7 +55,7 @@
 struct Peers {
   Address listen;
   std::vector<Address> by_rank;  // indexed by rank; includes this gateway's own address
-  std::optional<Address> all;    // broadcasts to all others; absent: a datagram is sent to each of them
+  std::optional<Address> all;    // broadcast address of all others; absent: each gets its own datagram
 };
 // Returns nullopt if the settings do not allow messages or the configuration names no peers. Throws
 // ConfigError if an address is invalid or the number of peers is not the group size.
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -14,7 +14,7 @@
 UpstreamState ToState(const std::string& status) {
   if (status == "Ready") return UpstreamState::kReady;
   if (status == "Gone") return UpstreamState::kRemoved;
-  return UpstreamState::kDraining;  // an unknown status does not state readiness
+  return UpstreamState::kDraining;  // also for an unknown status, as the upstream may not be ready
 }
 
 Endpoint DecodeEntry(const json& from) {
--- a/src/net/downstream/client_connection.cpp
+++ b/src/net/downstream/client_connection.cpp
@@ -81,7 +81,7 @@
   if (state_ == State::kLingering) return lingering_close_.Discard();
   if (is_dispatching_ || state_ == State::kAborted) return;
   const auto now = Clock::now();
-  // OnRead is also called after writes, when no new bytes may have arrived.
+  // OnRead is also called after writes. Bytes that were read earlier keep their recorded arrival time.
   if (reader_.UnrecordedBytes() > 0) RecordArrival(now);
   is_dispatching_ = true;
   DispatchCommands(now);
--- a/src/net/downstream/client_connection.h
+++ b/src/net/downstream/client_connection.h
@@ -77,7 +77,7 @@
 
   void ScheduleClose(const CloseSchedule& schedule) { scheduled_close_.Schedule(schedule); }
   void CancelScheduledClose() { scheduled_close_.Cancel(); }
-  // Closes the connection if its scheduled time has come. Bytes that have arrived by then are processed;
+  // Closes the connection if its scheduled time has come. Bytes that have arrived by that time are processed;
   // later ones are not, because a client that always has another request in transit would keep the connection
   // open forever. Once the client sees the close it sends the unread requests again elsewhere. May destroy
   // the connection.
--- a/src/net/downstream/client_listener.cpp
+++ b/src/net/downstream/client_listener.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kManyOpenDivisor = 5;
 constexpr milliseconds kAcceptErrorRetryDelay{50};
 constexpr milliseconds kCapacityRetryDelay{20};
-constexpr int kMaxAcceptFailures = 16;            // of one call, before the rest of the backlog is deferred
+constexpr int kMaxAcceptFailures = 16;            // in one AcceptBacklog call, which then returns
 constexpr unsigned kMaxAcceptsPerIteration = 32;  // before the event loop serves other sockets
 constexpr int kBacklog = 1024;
 
--- a/src/net/downstream/command_reader.h
+++ b/src/net/downstream/command_reader.h
@@ -48,7 +48,7 @@
   // Releases the reservation, or leaves the budget's queue.
   void CancelReservation();
 
-  // Returns since when a command has been incomplete.
+  // Returns when the current command was first found incomplete, or nullopt if no command is incomplete.
   [[nodiscard]] const std::optional<Clock::time_point>& partial_since() const { return partial_since_; }
   [[nodiscard]] Clock::time_point last_read_at() const { return last_read_at_; }
   // Returns whether the incomplete command is overdue. The time since its first byte bounds the head and the
--- a/src/net/downstream/connection_drainer.cpp
+++ b/src/net/downstream/connection_drainer.cpp
@@ -72,7 +72,7 @@
 void ConnectionDrainer::CloseAll(Clock::time_point command_deadline) {
   const auto now = Clock::now();
   for (auto it = connections_.begin(); it != connections_.end();) {
-    ClientConnection& connection = **it++;  // may be removed
+    ClientConnection& connection = **it++;  // CloseIfDue may remove the connection
     connection.ScheduleClose(
         {.at = now, .command_deadline = command_deadline, .reason = ops::CloseReason::kStopping});
     connection.CloseIfDue(now);
@@ -83,7 +83,7 @@
   close_timer_.Arm(kCloseInterval);
   const auto now = Clock::now();
   for (auto it = connections_.begin(); it != connections_.end();) {
-    ClientConnection& connection = **it++;  // may be removed
+    ClientConnection& connection = **it++;  // the call may remove the connection
     connection.CloseIfDue(now);
   }
 }
--- a/src/net/downstream/request_handler.h
+++ b/src/net/downstream/request_handler.h
@@ -21,7 +21,8 @@
 
   // Writes a response. `value` is a complete RESP bulk string, as the upstream sent it.
   virtual void Complete(Slot slot, std::string_view value) = 0;
-  virtual void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) = 0;  // 0: omitted
+  // Writes a rejection. It contains `retry_after` unless that is 0.
+  virtual void RejectWithRetryAfter(Slot slot, std::chrono::milliseconds retry_after) = 0;
   virtual void Fail(Slot slot, planner::FailureReason reason) = 0;
   // Begins a streamed value, in place of Complete. `window` bounds the bytes buffered for the client.
   virtual void BeginStream(Slot slot, std::size_t window) = 0;
--- a/src/net/downstream/response_sender.cpp
+++ b/src/net/downstream/response_sender.cpp
@@ -8,7 +8,7 @@
 namespace postspread::net {
 namespace {
 
-constexpr int kStreamSendBufferBytes = 64 * 1024;  // in the kernel
+constexpr int kStreamSendBufferBytes = 64 * 1024;  // size of the kernel's send buffer
 
 }  // namespace
 
--- a/src/net/downstream/scheduled_close.h
+++ b/src/net/downstream/scheduled_close.h
@@ -1,5 +1,5 @@
-// The scheduled close of a client connection: commands that have arrived by the scheduled time are processed,
-// and later ones are not.
+// The scheduled close of a client connection: bytes that have arrived by the scheduled time and the rest of a
+// partial command are processed, and later commands are not.
 #ifndef POSTSPREAD_NET_DOWNSTREAM_SCHEDULED_CLOSE_H_
 #define POSTSPREAD_NET_DOWNSTREAM_SCHEDULED_CLOSE_H_
 
@@ -20,7 +20,7 @@
 
 struct CloseSchedule {
   Clock::time_point at;
-  Clock::time_point command_deadline;  // by then a command that has begun to arrive must be complete
+  Clock::time_point command_deadline;  // a command that has begun to arrive must be complete by this time
   ops::CloseReason reason = ops::CloseReason::kDrained;
 };
 
@@ -37,8 +37,8 @@
   void Begin(std::size_t bytes) { bytes_to_process_ = bytes; }
   void OnCommandProcessed(std::size_t size);
 
-  // Only after the close has begun: tell whether some of these bytes are not processed yet, and whether they
-  // must be processed now.
+  // These may be called only after the close has begun. They return whether bytes are left to process, and
+  // whether those must be processed now, regardless of back-pressure.
   [[nodiscard]] bool HasBytesToProcess() const { return *bytes_to_process_ > 0; }
   [[nodiscard]] bool MustProcessNow(Clock::time_point now) const {
     return now >= schedule_->command_deadline;
--- a/src/net/upstream/attempt_listener.h
+++ b/src/net/upstream/attempt_listener.h
@@ -36,7 +36,8 @@
   // `value` is the complete bulk string that a successful attempt returned. It is valid during the call only.
   virtual void OnAttemptFinished(const planner::AttemptReport& report, std::string_view value) = 0;
   virtual void OnHealthCheckFinished(const planner::HealthCheckReport& report) = 0;
-  // Returns whether a client still waits for the request. Called right before its first byte is sent.
+  // Returns whether a client still waits for the request. Called right before the request's first byte is
+  // sent.
   virtual bool IsStillNeeded(RequestId request) = 0;
   // Called when an attempt or health check was not sent because sending it would have broken `rule`.
   virtual void OnRulePrevented(safety::Rule rule) = 0;
@@ -48,8 +49,8 @@
   };
   // Called when an attempt succeeds with a large value whose first bytes have arrived.
   virtual Value OnLargeValue(const planner::AttemptReport& report) = 0;
-  // Returns how many bytes of the stream the client can take now. After 0, UpstreamPool::Resume is called
-  // once there is capacity again.
+  // Returns how many bytes of the stream the client can take now. After 0 the listener calls
+  // UpstreamPool::Resume once there is capacity again.
   virtual std::size_t StreamCapacity(RequestId request) = 0;
   // Removes `size` bytes from the front of `from` and sends them to the client.
   virtual void StreamValue(RequestId request, evbuffer* from, std::size_t size) = 0;
--- a/src/net/upstream/counter_client.cpp
+++ b/src/net/upstream/counter_client.cpp
@@ -17,11 +17,13 @@
 
 constexpr milliseconds kMaintenanceInterval{100};
 constexpr milliseconds kReconnectInterval{200};
-// A connection without a reply for this long is closed, since TCP does not detect a counter that vanished.
+// A call without a reply for this long closes the connection, since TCP does not detect a counter that
+// vanished.
 constexpr milliseconds kSilenceTimeout{1'000};
 // Must be below the counter's idle timeout of about 10 s.
 constexpr milliseconds kKeepAliveInterval{2'000};
-constexpr std::size_t kMaxReplyRemainder = 64;  // bytes missing from a number or a short line
+// A longer incomplete reply is neither a number nor a short line.
+constexpr std::size_t kMaxPartialReplyBytes = 64;
 constexpr std::size_t kMaxPendingCalls = 4096;
 constexpr std::int64_t kMaxTtlMs = 60'000;
 
@@ -210,7 +212,7 @@
     if (progress == resp::Progress::kPartial) {
       // The counter never sends arrays or replies of this length. Waiting for the rest of such a reply would
       // fail every later call until the silence timeout.
-      if (bytes.front() == '*' || reply.bytes_needed > kMaxReplyRemainder)
+      if (bytes.front() == '*' || reply.bytes_needed > kMaxPartialReplyBytes)
         return OnConnectionLost("malformed reply");
       bytes_needed_ = reply.bytes_needed;
       continue;
--- a/src/net/upstream/counter_client.h
+++ b/src/net/upstream/counter_client.h
@@ -77,15 +77,15 @@
   CounterListener& listener_;
   BufferEvent connection_;
   bool is_up_ = false;
-  bool has_replied_ = false;  // on this connection
+  bool has_replied_ = false;  // the counter has replied on this connection
   bool was_up_ = true;        // ensures that only changes are logged
   bool is_retired_ = false;
   RateLimitedLog lost_log_;
   RateLimitedLog recovered_log_;
   Clock::time_point connect_started_at_;
   Clock::time_point last_used_at_;
-  std::uint64_t sent_bytes_ = 0;    // written to this connection
-  std::size_t bytes_needed_ = 0;    // by the next parsing step; 0 if unknown
+  std::uint64_t sent_bytes_ = 0;    // bytes written to this connection
+  std::size_t bytes_needed_ = 0;    // bytes that the next parsing step needs; 0 if unknown
   std::deque<PendingCall> calls_;   // calls without a reply, in order
   std::size_t reported_calls_ = 0;  // how many calls at the front of calls_ have timed out
   std::string message_;             // scratch space
--- a/src/net/upstream/discovery_watch.h
+++ b/src/net/upstream/discovery_watch.h
@@ -2,8 +2,8 @@
 //
 // Each poll ends with its response or its timeout. After a poll that failed, was refused or timed out,
 // discovery::DiscoverySchedule bounds the time until the next successful one, so that a change takes effect
-// in time. A response that is reset before its end is discarded, and so are bytes after a response. If the
-// list's index decreases, discovery has restarted, and the watch polls for a snapshot.
+// within its time limit. A response that is reset before its end is discarded, and so are bytes after a
+// response. If the list's index decreases, discovery has restarted, and the watch polls for a snapshot.
 #ifndef POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
 #define POSTSPREAD_NET_UPSTREAM_DISCOVERY_WATCH_H_
 
@@ -55,7 +55,7 @@
   BufferEvent connection_;
   http::ResponseParser parser_;
   bool has_list_ = false;
-  std::optional<std::uint64_t> index_;  // of the list at this address; unset if a snapshot is needed
+  std::optional<std::uint64_t> index_;  // index of the list at this address; unset if a snapshot is needed
   bool is_failing_ = false;             // ensures that only changes are logged
   Timer timer_;                         // the connect or response timeout, or the next connect
 };
--- a/src/net/upstream/late_duplicate_detector.h
+++ b/src/net/upstream/late_duplicate_detector.h
@@ -14,16 +14,16 @@
 class LateDuplicateDetector {
  public:
   // Records that bytes have arrived that belong to no request.
-  void Record(Clock::time_point now) { delay_reuse_until_ = now + kDetectionPeriod; }
+  void Record(Clock::time_point now) { delay_reuse_until_ = now + kProtectionPeriod; }
 
-  // Returns the latest time since which a connection must have been idle to be reused now.
+  // Returns a cutoff: a connection may be reused now if it has been idle since this time or earlier.
   [[nodiscard]] Clock::time_point ReusableIfIdleSince(Clock::time_point now) const {
     return now < delay_reuse_until_ ? now - kReuseDelay : now;
   }
 
  private:
   static constexpr std::chrono::milliseconds kReuseDelay{20};
-  static constexpr std::chrono::seconds kDetectionPeriod{60};
+  static constexpr std::chrono::seconds kProtectionPeriod{60};  // since the last detected duplicate
 
   Clock::time_point delay_reuse_until_;
 };
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -17,7 +17,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Limits a gap within a large value. Clients do not wait for longer.
+// Bounds the time without a new byte within a large value, as clients do not wait for longer.
 constexpr milliseconds kValueStallTimeout{3'000};
 constexpr milliseconds kSendRetryInterval{5};  // while the socket's send buffer is full
 // Bounds the bytes that are read before they are parsed or forwarded.
@@ -129,12 +129,12 @@
 
 void UpstreamConnection::Begin(UpstreamAttempt attempt) {
   bytes_needed_ = 0;
-  // The message stays in the attempt. If it were in the connection's buffer, it would be sent even if the
-  // rules forbade it by then.
+  // The message stays in the attempt until the rules allow sending it. From the connection's buffer it would
+  // be sent even if a rule forbids it at that time.
   attempt_ = std::move(attempt);
   if (state_ == State::kConnecting) {
     const auto timeout = duration_cast<microseconds>(attempt_.deadline - attempt_.started_at);
-    return timer_.Arm(std::min(timeout, context_.connect_timeout));
+    return timer_.Arm(std::min(timeout, context_.dial_timeout));
   }
   Transition(State::kAwaitingSend);
   SendIfAllowed();
@@ -187,7 +187,7 @@
 void UpstreamConnection::OnConnected() {
   Transition(State::kAwaitingSend);
   const auto connect_time = duration_cast<microseconds>(Clock::now() - connect_started_at_);
-  delay_bound_ = std::min(connect_time, context_.connect_timeout);
+  delay_bound_ = std::min(connect_time, context_.dial_timeout);
   SendIfAllowed();
 }
 
@@ -199,7 +199,7 @@
     if (!can_complete) Close(AttemptResult::kReset);
     return;
   }
-  // The upstream can't have executed a request whose last byte has not been sent.
+  // The upstream can't have executed a request before its last byte was sent; after that it may have.
   const bool never_ran = IsUnsent() || Unwritten(connection_.get()) > 0;
   // The same fault has probably broken the idle connections to this upstream. An attempt on one of them would
   // fail and would then count as possibly executed.
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -27,7 +27,7 @@
 // The state that all connections of a pool share.
 struct UpstreamConnectionContext {
   event_base* base = nullptr;
-  std::chrono::microseconds connect_timeout{0};
+  std::chrono::microseconds dial_timeout{0};
   std::string health_check_command;
   AttemptListener& listener;
   LateDuplicateDetector late_duplicates{};
@@ -132,18 +132,18 @@
   UpstreamConnectionContext& context_;
   UpstreamConnectionOwner& owner_;
   PooledUpstream& upstream_;
-  const int incarnation_;  // the upstream's when this connection was opened
+  const int incarnation_;  // the upstream's incarnation when this connection was opened
   BufferEvent connection_;
   Timer timer_;
   State state_ = State::kConnecting;
   UpstreamAttempt attempt_;
   ValueStream stream_;
-  bool is_stream_paused_ = false;    // because the client has no capacity
+  bool is_stream_paused_ = false;    // the client has no capacity
   bool is_upstream_closed_ = false;  // the upstream has closed the connection after the attempt was reported
-  std::size_t bytes_needed_ = 0;     // by the next parsing step; 0 if unknown
+  std::size_t bytes_needed_ = 0;     // bytes that the next parsing step needs; 0 if unknown
   Clock::time_point connect_started_at_;
   std::chrono::microseconds delay_bound_{0};  // maximum delay of a byte to the upstream; set once connected
-  Clock::time_point last_read_at_;            // within a reply
+  Clock::time_point last_read_at_;            // last read of the current reply
   Clock::time_point idle_since_;
 };
 
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -30,7 +30,7 @@
     : limits_(limits),
       max_idle_(std::chrono::duration_cast<microseconds>(limits.idle * kIdleLimitFraction)),
       context_{.base = base,
-               .connect_timeout = limits.dial_timeout,
+               .dial_timeout = limits.dial_timeout,
                .health_check_command = HealthCheckCommand(),
                .listener = listener},
       maintenance_(base, [this] { RunMaintenance(); }) {
@@ -57,14 +57,14 @@
   std::vector<PooledUpstream*> replaced;
   for (const config::Endpoint& entry : endpoint_list.entries) {
     PooledUpstream& upstream = FindOrAdd(entry.upstream.name);
-    const bool has_moved = !(upstream.address == entry.address) && entry.address.size() > 0;
+    const bool has_new_address = !(upstream.address == entry.address) && entry.address.size() > 0;
     // After a restart or a change of address, the old connections lead to the former process.
-    if (has_moved || upstream.started != entry.upstream.started) {
+    if (has_new_address || upstream.started != entry.upstream.started) {
       ++upstream.incarnation;
       CloseIdleConnections(upstream);
       replaced.push_back(&upstream);
     }
-    if (has_moved) upstream.address = entry.address;
+    if (has_new_address) upstream.address = entry.address;
     upstream.started = entry.upstream.started;
     upstream.state = entry.upstream.state;
   }
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -36,7 +36,7 @@
 thread_local ErrorSink* error_sink = nullptr;
 
 void RecordError(cfg_t* cfg, const char* format, va_list arguments) {
-  if (error_sink == nullptr || !error_sink->error.empty()) return;  // later errors are dropped
+  if (error_sink == nullptr || !error_sink->error.empty()) return;  // only the first error is reported
   char text[512];
   std::vsnprintf(text, sizeof text, format, arguments);
   error_sink->error = error_sink->name + ":" + std::to_string(cfg->line) + ": " + text;
@@ -77,7 +77,7 @@
 
 // ---- idempotency { ... }
 
-void CheckIdempotency(cfg_t* root) {
+void RegisterIdempotencyChecks(cfg_t* root) {
   cfg_set_validate_func(root, "idempotency|memory", CheckRange<64L << 10, 1L << 30, ' ', 'b'>);
   cfg_set_validate_func(root, "idempotency|keep", CheckRange<1'000, 3'600'000, 'm', 's'>);
   cfg_set_validate_func(root, "idempotency|max_waiters", CheckRange<1, 4'096>);
@@ -111,7 +111,7 @@
   return -1;
 }
 
-void CheckMembership(cfg_t* root) {
+void RegisterMembershipChecks(cfg_t* root) {
   cfg_set_validate_func(root, "fleet|name", CheckMembershipName);
   cfg_set_validate_func(root, "fleet|datagram",
                         CheckRange<membership::kMinDatagramBytes, membership::kMaxDatagramBytes, ' ', 'b'>);
@@ -210,8 +210,8 @@
   ConfigHandle root(cfg_init(blocks, CFGF_NONE));
   if (!root) throw OperatorError(file + ": not enough memory to read it");
   cfg_set_error_function(root.get(), RecordError);
-  CheckIdempotency(root.get());
-  CheckMembership(root.get());
+  RegisterIdempotencyChecks(root.get());
+  RegisterMembershipChecks(root.get());
   cfg_set_validate_func(root.get(), "concert|nodes", CheckRange<2, 1'000>);
   cfg_set_validate_func(root.get(), "concert|least", CheckRange<1, 1'000>);
   return root;
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -24,7 +24,7 @@
 
 // Reports that `value` is not one of `names`.
 void ReportUnknownName(cfg_t* cfg, cfg_opt_t* opt, const char* value, const char* names);
-// Reports an error and returns true if the key already has a value.
+// Reports an error and returns true if the key already has a value; otherwise marks it as set.
 bool ReportRepeatedKey(cfg_t* cfg, cfg_opt_t* opt);
 
 void ReportOutOfBounds(cfg_t* cfg, cfg_opt_t* opt, long min, long max, const char* unit);
--- a/src/resp/request.cpp
+++ b/src/resp/request.cpp
@@ -170,8 +170,8 @@
     return nullptr;
   }
 
-  // Missing fields are reported in this order.
   static constexpr std::size_t kFieldCount = 8;
+  // Missing fields are reported in this order.
   static constexpr std::array<Field, kFieldCount> kFields = {
       {{"c", &FieldDecoder::DecodeClass, "c is missing"},
        {"t", &FieldDecoder::DecodePlan, "t is missing"},
