--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -61,7 +61,7 @@
       for (const char* disabled : fleet_rig::kDefenses)
         defenses_detected_ += fleet_rig::DetectsFailure(disabled);
     }
-    return Verdict();
+    return CheckAndReport();
   }
 
  private:
@@ -89,8 +89,8 @@
     return out;
   }
 
-  // Runs for half of the time. The detection promise holds without loss, so that only this run verifies it;
-  // in the other run, one datagram in ten is lost.
+  // Injects faults into gateway processes for half of the configured time, while this fraction of datagrams
+  // is lost. Only the run without loss measures detection, since the promise on its time assumes no loss.
   void RunProcesses(double loss) {
     Rig rig({.gateways = settings_.processes,
              .period = milliseconds(400),
@@ -287,7 +287,7 @@
     if (served < 0.99) AddViolation("less than 99 % of the requests were served: " + std::to_string(served));
   }
 
-  int Verdict() {
+  int CheckAndReport() {
     const double settle = Quantile(settle_, 0.99), detect = Quantile(detect_, 0.99);
     const double ratio = bytes_.contains(500) ? bytes_[500] / bytes_[30] : bytes_[100] / bytes_[30];
     const auto require = [&](bool held, const std::string& text) {
--- a/bench/gateway_group.h
+++ b/bench/gateway_group.h
@@ -72,12 +72,12 @@
   }
 
   void Start(int rank) {
-    Process::Options plan;
-    plan.program = GATEWAY_PROGRAM;
-    plan.variables = {"ROUTER_CONFIG=" + Path(rank, ".json")};
-    if (with_store_) plan.arguments = {"--operator", (directory_ / (name_ + ".conf")).string()};
-    plan.log = Path(rank, ".log");
-    processes_[static_cast<std::size_t>(rank)] = std::make_unique<Process>(plan);
+    Process::Options options;
+    options.program = GATEWAY_PROGRAM;
+    options.variables = {"ROUTER_CONFIG=" + Path(rank, ".json")};
+    if (with_store_) options.arguments = {"--operator", (directory_ / (name_ + ".conf")).string()};
+    options.log = Path(rank, ".log");
+    processes_[static_cast<std::size_t>(rank)] = std::make_unique<Process>(options);
   }
   void Kill(int rank) {
     UpdatePeakMemory();
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,5 +1,5 @@
 // The fault soak runs many real gateways on loopback under overlapping faults that are drawn from one seed,
-// with clients of every behaviour that use their connections until the gateway is killed. It exits with 0
+// with clients of every behavior that use their connections until the gateway is killed. It exits with 0
 // only if every invariant held, and prints one JSON object as its last line. A failing seed can be repeated
 // with --seed.
 #include <CLI/CLI.hpp>
@@ -43,7 +43,8 @@
   int fault_seconds = 30;
   std::uint64_t seed = 1;
   int mean_fault_interval_ms = 120;
-  std::string report_folder;  // receives the timetable and logs of a run that violated an invariant
+  // Receives the event log and the gateway logs of a run that violated an invariant.
+  std::string report_folder;
 };
 
 class Soak {
@@ -124,7 +125,7 @@
     return Clock::now() + milliseconds(Draw(min_ms, max_ms));
   }
 
-  // ---- Clients: each gateway has one of each behaviour, which is replaced when its connection has closed,
+  // ---- Clients: each gateway has one of each behavior, which is replaced when its connection has closed,
   // as long as new connections are allowed there.
   void MaintainClients() {
     for (int i = 0; i < size(); ++i) {
--- a/bench/soak_oracle.cpp
+++ b/bench/soak_oracle.cpp
@@ -15,7 +15,7 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// A response that is late by no more than this earns nothing, but violates no invariant.
+// A response that is late by no more than this has no value for its client, but violates no invariant.
 constexpr milliseconds kLateResponseAllowed{500};
 // The close of a client's connection may take this long to reach the gateway.
 constexpr milliseconds kClientCloseDelay{100};
@@ -36,9 +36,10 @@
 // includes the case that the system temporarily refuses to watch the socket, which the gateway retries 4
 // times a second.
 constexpr milliseconds kMaxReadDelay{1'000};
-// Requests that are written until this time after SIGTERM are not counted as lost to a regular SIGKILL.
+// A regular SIGKILL may end requests that were written up to this time after SIGTERM.
 constexpr milliseconds kExcusedAfterTerm{700};
-// The time from SIGTERM to SIGKILL, and until a client that reads slowly observes the end of its connection.
+// The maximum time from SIGTERM to SIGKILL and until a client that reads slowly observes the end of its
+// connection.
 constexpr milliseconds kMaxShutdown{5'000};
 constexpr std::size_t kMaxExamples = 5;
 
@@ -195,8 +196,8 @@
   }
 }
 
-// By the specification, a regular SIGKILL loses only what came more than 0.7 s after SIGTERM. A client that
-// reads slowly may need more time than remains to a process that was paused during its shutdown.
+// A regular SIGKILL may end requests that were written up to 0.7 s after SIGTERM. A client that reads slowly
+// may need more time than remains to a process that was paused during its shutdown.
 bool SoakOracle::CutShortByShutdown(const RequestRecord& record) {
   const Gateway& g = at(record.gateway);
   return std::any_of(g.terminated.begin(), g.terminated.end(), [&](auto when) {
--- a/bench/soak_oracle.h
+++ b/bench/soak_oracle.h
@@ -25,7 +25,7 @@
   explicit SoakOracle(RequestLog& request_log, int gateways);
 
   // ---- Faults and signals that the soak applies to a gateway; the checks take them into account.
-  // SIGSTOP and SIGCONT.
+  // The process received SIGSTOP or SIGCONT.
   void OnPaused(int gateway) { at(gateway).paused_since = Clock::now(); }
   void OnResumed(int gateway);
   // The link to the upstreams is cut. Attempts that were sent before may arrive once it is restored.
@@ -36,7 +36,7 @@
   void OnWritesDelayed(int gateway, std::chrono::milliseconds max_delay);
   void OnWriteDelayEnded(int gateway);
   void OnKilled(int gateway) { at(gateway).killed.push_back(Clock::now()); }
-  // The regular SIGKILL some time after SIGTERM, of a process that was not paused in between.
+  // The process received the regular SIGKILL after its SIGTERM, and was not paused in between.
   void OnKilledInShutdown(int gateway) { at(gateway).killed_in_shutdown.push_back(Clock::now()); }
   void OnTerminated(int gateway) { at(gateway).terminated.push_back(Clock::now()); }
 
@@ -76,7 +76,7 @@
     std::vector<Clock::time_point> killed, killed_in_shutdown, terminated;
   };
   Gateway& at(int i) { return gateways_[static_cast<std::size_t>(i)]; }
-  // Returns for how long the process was paused between the two times, at most.
+  // Returns the maximum time for which the process was paused between `from` and `to`.
   Clock::duration PausedTime(int gateway, Clock::time_point from, Clock::time_point to);
   // Returns whether a pause that has just ended began after the gateway read the clock for a message, at
   // `clock_read_at`, and before it wrote the first byte.
--- a/tests/fleet/admin_call.h
+++ b/tests/fleet/admin_call.h
@@ -37,7 +37,7 @@
     const std::string request = method + " " + path + " HTTP/1.1\r\nHost: rig\r\n\r\n";
     bufferevent_write(connection_.get(), request.data(), request.size());
   }
-  // Whether the request has ended, with a response or without.
+  // Returns whether the request has ended, with a response or without.
   [[nodiscard]] bool finished() const { return finished_; }
 
  private:
--- a/tests/fleet/habit_client.h
+++ b/tests/fleet/habit_client.h
@@ -69,7 +69,7 @@
   }
   std::unordered_map<Id, RequestRecord>& records() { return records_; }
   Id NextId(bool large_response);
-  // Is called with a description of each response that belongs to no request or to a different one.
+  // Called with a description of each response that belongs to no request or to a different one.
   std::function<void(const std::string& what)> on_mismatch = [](const std::string&) {};
 
  private:
@@ -77,7 +77,7 @@
   std::uint64_t next_ = 1;
 };
 
-// Whether an upstream should send a large value in its response to the request with this id.
+// Returns whether an upstream should send a large value in its response to the request with this id.
 bool WantsLargeResponse(std::string_view id);
 
 // One client connection to a gateway. The client sends requests according to its behavior until either side
@@ -102,7 +102,7 @@
   [[nodiscard]] bool never_connected() const { return !connected_; }
   [[nodiscard]] Clock::time_point opened() const { return opened_; }
   [[nodiscard]] std::size_t pending() const { return pending_.size(); }
-  // When the client wrote the last complete request; the epoch if it wrote none.
+  // Returns when the client wrote its last complete request, or the epoch if it wrote none.
   [[nodiscard]] Clock::time_point last_written() const { return last_written_; }
   // Closes the connection; requests in flight are recorded as abandoned by their client.
   void Disconnect();
--- a/tests/fleet/habit_paths_test.cpp
+++ b/tests/fleet/habit_paths_test.cpp
@@ -30,12 +30,12 @@
       rig.Run(kResetPeriod);
     }
   }
-  // Counts the attempts that arrive at an upstream more than 0.25 s after their client left. The gateway may
-  // start attempts for 0.1 s; 0.15 s are allowed for the transfer.
+  // Counts the attempts that arrive at an upstream more than 0.25 s after their client disconnected. The
+  // gateway may start attempts for 0.1 s; 0.15 s are allowed for the transfer.
   void CountLateAttempts() {
     rig.upstreams().on_attempt = [this, count_attempt = rig.upstreams().on_attempt](
-                                     int node, std::string_view id, std::string_view extras) {
-      count_attempt(node, id, extras);
+                                     int upstream, std::string_view id, std::string_view extras) {
+      count_attempt(upstream, id, extras);
       const RequestRecord* record = request_log.Find(id);
       late_attempts += record != nullptr && record->client_disconnected &&
                        Clock::now() - record->ended > milliseconds(250);
@@ -44,7 +44,7 @@
   void DisconnectAll() {
     for (const auto& client : clients) client->Disconnect();
   }
-  // Verifies the requests after all clients have left.
+  // Verifies the requests after all clients have disconnected.
   void CheckAll() {
     CHECK(attempts > 0);
     CHECK(deadlines_too_long == 0);
@@ -123,7 +123,7 @@
 }
 
 // After SIGCONT, the event loop may report the failed attempts before it reports the disconnected clients, so
-// that the gateway would retry for a client that has already left.
+// that the gateway would retry for a client that has already disconnected.
 TEST_CASE(
     "given a suspended gateway, when clients disconnect and it is resumed, then it retries nothing for "
     "them") {
@@ -149,7 +149,7 @@
     "in time") {
   constexpr int kDeadlines[] = {1, 5, 20, 60};
   RetryFixture fixture;
-  fixture.rig.upstreams().hangs = [](int node) { return node == 0; };
+  fixture.rig.upstreams().hangs = [](int upstream) { return upstream == 0; };
   for (const int deadline : kDeadlines) {
     fixture.deadline = milliseconds(deadline);
     fixture.ConnectAll(1);
@@ -160,24 +160,24 @@
 }
 
 TEST_CASE(
-    "given many idle connections, when the gateway closes or evicts some, then no forwarded request loses "
-    "its response") {
-  constexpr int kCrowd = 400;
+    "given clients of each behavior and many idle ones, when the gateway closes or evicts some, then no "
+    "forwarded request loses its response") {
+  constexpr int kInactiveClients = 400;
   ClientBehaviorFixture fixture;
   fixture.ConnectAll(3);
   fixture.rig.Run(kWarmUpTime);
-  std::vector<std::unique_ptr<ScriptedClient>> crowd;
-  for (int i = 0; i < kCrowd; ++i) {
+  std::vector<std::unique_ptr<ScriptedClient>> inactive_clients;
+  for (int i = 0; i < kInactiveClients; ++i) {
     const ClientBehavior behavior = i % 3 == 0   ? ClientBehavior::kPartialCommand
                                     : i % 3 == 1 ? ClientBehavior::kSilent
                                                  : ClientBehavior::kIdle;
-    crowd.push_back(std::make_unique<ScriptedClient>(fixture.rig.base(), fixture.request_log,
-                                                     ScriptedClient::Target{.port = fixture.rig.port(0)},
-                                                     behavior, 1'000 + i));
+    inactive_clients.push_back(std::make_unique<ScriptedClient>(
+        fixture.rig.base(), fixture.request_log, ScriptedClient::Target{.port = fixture.rig.port(0)},
+        behavior, 1'000 + i));
   }
   // The gateway has to reject a partial command, or close its connection, within 3 s.
   fixture.rig.Run(milliseconds(3'000));
-  for (const auto& client : crowd) {
+  for (const auto& client : inactive_clients) {
     if (client->behavior() != ClientBehavior::kIdle) CHECK_FALSE(client->open());
   }
   fixture.rig.Run(milliseconds(1'000));
@@ -189,16 +189,16 @@
 TEST_CASE(
     "given a low descriptor limit, when the gateway evicts connections, then no client loses responses it "
     "has not read") {
-  constexpr int kCrowd = 250;
+  constexpr int kInactiveClients = 250;
   ClientBehaviorFixture fixture({.sockets = 200});
   fixture.ConnectAll(3);
   fixture.rig.Run(kWarmUpTime);
-  std::vector<std::unique_ptr<ScriptedClient>> crowd;
-  crowd.reserve(kCrowd);
-  for (int i = 0; i < kCrowd; ++i) {
-    crowd.push_back(std::make_unique<ScriptedClient>(fixture.rig.base(), fixture.request_log,
-                                                     ScriptedClient::Target{.port = fixture.rig.port(0)},
-                                                     ClientBehavior::kIdle, 1'000 + i));
+  std::vector<std::unique_ptr<ScriptedClient>> inactive_clients;
+  inactive_clients.reserve(kInactiveClients);
+  for (int i = 0; i < kInactiveClients; ++i) {
+    inactive_clients.push_back(std::make_unique<ScriptedClient>(
+        fixture.rig.base(), fixture.request_log, ScriptedClient::Target{.port = fixture.rig.port(0)},
+        ClientBehavior::kIdle, 1'000 + i));
   }
   fixture.rig.Run(milliseconds(1'000));
   fixture.rig.ReadMetrics();
--- a/tests/fleet/habit_site.h
+++ b/tests/fleet/habit_site.h
@@ -63,7 +63,7 @@
     }
   }
   // Runs `action` with clients of each behavior connected, then connects further ones while the load balancer
-  // still sends connections. Returns when `action` ended.
+  // still sends connections. Returns the time at which `action` ended.
   Clock::time_point RunScenario(const std::function<void()>& action) {
     ConnectAll(3);
     rig.Run(kWarmUpTime);
@@ -76,8 +76,8 @@
   void RunUntil(Clock::time_point when) {
     rig.Run(std::chrono::duration_cast<milliseconds>(when - Clock::now()));
   }
-  // Checks that every request that reached an upstream has received a response, unless its client left or a
-  // SIGKILL cut it off. A request that reached an upstream was read by the gateway.
+  // Checks that every request that reached an upstream has received a response, unless its client
+  // disconnected or a SIGKILL ended it. A request that reached an upstream was read by the gateway.
   void CheckAnswered() {
     for (const auto& [id, record] : request_log.records()) {
       if (record.end != RequestEnd::kConnectionEnded || record.client_disconnected || ClosedByKill(record))
@@ -160,7 +160,7 @@
     for (const auto& [key, times] : rig.upstreams().applied) CHECK(times <= 1);
   }
   // Checks that each complete request received its response, or lost its connection, within 0.5 s after its
-  // deadline. Slow readers and clients that left are exempt.
+  // deadline. Slow readers and clients that disconnected are exempt.
   void CheckDeadlines() {
     constexpr milliseconds kGrace{500};
     for (const auto& [id, record] : request_log.records()) {
@@ -171,7 +171,7 @@
       CHECK(ended - record.written <= record.deadline + kGrace);
     }
   }
-  milliseconds deadline{2'500};  // of the clients that connect from now on
+  milliseconds deadline{2'500};  // of all requests of clients that connect from now on
   bool all_classes = false;      // clients that connect from now on send requests of every retry safety
   int attempts = 0, deadlines_too_long = 0;
   std::optional<Clock::time_point> sigterm_before_kill;
--- a/tests/fleet/habits_test.cpp
+++ b/tests/fleet/habits_test.cpp
@@ -131,8 +131,8 @@
   int late_attempts = 0;
   fixture.TrackDeadlines();
   fixture.rig.upstreams().on_attempt = [&, count_attempt = fixture.rig.upstreams().on_attempt](
-                                           int node, std::string_view id, std::string_view extras) {
-    count_attempt(node, id, extras);
+                                           int upstream, std::string_view id, std::string_view extras) {
+    count_attempt(upstream, id, extras);
     const RequestRecord* record = fixture.request_log.Find(id);
     late_attempts +=
         record != nullptr && record->client_disconnected && Clock::now() - record->ended > milliseconds(300);
@@ -200,9 +200,9 @@
   fixture.rig.PublishEndpoints({0});
   fixture.rig.Run(milliseconds(2'000));
   int attempts = 0, attempts_at_draining = 0;
-  fixture.rig.upstreams().on_attempt = [&](int node, std::string_view, std::string_view) {
+  fixture.rig.upstreams().on_attempt = [&](int upstream, std::string_view, std::string_view) {
     ++attempts;
-    attempts_at_draining += node == 0;
+    attempts_at_draining += upstream == 0;
   };
   fixture.ConnectAll(1);
   fixture.rig.Run(milliseconds(1'000));
--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -168,8 +168,7 @@
 
 TEST_CASE(
     "given changed membership settings, when the gateways reload, then periods apply at once and the rest "
-    "needs "
-    "a restart") {
+    "needs a restart") {
   Options options{.gateways = 3, .period = milliseconds(1'000), .suspicion = milliseconds(30'000)};
   Rig rig(options);
   rig.StartAll();
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -153,7 +153,7 @@
   return directory_ + "/" + std::to_string(i) + ending;
 }
 
-partners::Process::Options Rig::PlanOf(int i) const {
+partners::Process::Options Rig::ProcessOptions(int i) const {
   partners::Process::Options out;
   out.program = !options_.program.empty()   ? options_.program
                 : options_.disabled.empty() ? GATEWAY_PROGRAM
@@ -201,7 +201,7 @@
 void Rig::Start(int i) {
   LogEvent("start " + options_.name(i));
   Gateway& g = at(i);
-  g.process = std::make_unique<partners::Process>(PlanOf(i));
+  g.process = std::make_unique<partners::Process>(ProcessOptions(i));
   g.stopped = g.shutting_down = false;
   g.incarnation = 0;
   g.hash.clear();
@@ -251,9 +251,9 @@
   Gateway& g = at(i);
   g.predecessor = std::move(g.process);
   g.admin_port = FreePort();
-  partners::Process::Options plan = PlanOf(i);
-  plan.variables.push_back("ROUTER_OPS=" + LoopbackAddress(g.admin_port));
-  g.process = std::make_unique<partners::Process>(plan);
+  partners::Process::Options options = ProcessOptions(i);
+  options.variables.push_back("ROUTER_OPS=" + LoopbackAddress(g.admin_port));
+  g.process = std::make_unique<partners::Process>(options);
   g.incarnation = 0;
   g.polls = 0;
 }
@@ -268,7 +268,7 @@
 }
 void Rig::Partition(std::vector<int> sides) {
   std::string text;
-  for (const int partition : sides) text += std::to_string(partition);
+  for (const int side : sides) text += std::to_string(side);
   LogEvent("partition " + text);
   partition_ = std::move(sides);
   MarkAllDisturbed();
@@ -308,9 +308,9 @@
 void Rig::PublishEndpoints(const std::set<int>& draining) {
   for (const auto& g : gateways_) {
     json list = upstreams_->Listed(1);
-    for (std::size_t node = 0; node < list.size(); ++node) {
-      list[node]["address"] = g->upstream_relays[node]->address();
-      if (draining.contains(static_cast<int>(node))) list[node]["status"] = "Terminating";
+    for (std::size_t upstream = 0; upstream < list.size(); ++upstream) {
+      list[upstream]["address"] = g->upstream_relays[upstream]->address();
+      if (draining.contains(static_cast<int>(upstream))) list[upstream]["status"] = "Terminating";
     }
     g->discovery->Publish(std::move(list));
   }
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -121,18 +121,18 @@
   [[nodiscard]] bool alive(int i) const { return gateways_[static_cast<std::size_t>(i)]->process != nullptr; }
   [[nodiscard]] bool stopped(int i) const { return gateways_[static_cast<std::size_t>(i)]->stopped; }
   [[nodiscard]] int size() const { return static_cast<int>(gateways_.size()); }
-  // The gateways that run and are neither suspended nor shutting down.
+  // Returns the gateways that run and are neither suspended nor shutting down.
   [[nodiscard]] std::vector<int> Living() const;
-  // Whether the views of all in `partition` have the same hash and list exactly these as live, each in its
-  // current incarnation.
-  [[nodiscard]] bool Agree(const std::vector<int>& partition) const;
+  // Returns whether the views of all `gateways` have the same hash and list exactly these gateways as live,
+  // each in its current incarnation.
+  [[nodiscard]] bool Agree(const std::vector<int>& gateways) const;
   [[nodiscard]] bool AllAgree() const { return Agree(Living()); }
   [[nodiscard]] std::optional<MemberView> ViewOf(int viewer, int member) const;
-  // Whether any other live gateway lists the member as alive or suspect.
+  // Returns whether any other live gateway lists the member as alive or suspect.
   [[nodiscard]] bool SeenByAny(int member) const;
-  // The number of members in this state in the viewer's view.
+  // Returns the number of members in this state in the viewer's view.
   [[nodiscard]] int Count(int viewer, const std::string& state) const;
-  // The value at the last ReadMetrics(); 0 if the gateway doesn't export the metric.
+  // Returns the value at the last ReadMetrics(), or 0 if the gateway doesn't export the metric.
   [[nodiscard]] double Metric(int i, const std::string& name) const {
     return gateways_[static_cast<std::size_t>(i)]->metrics.contains(name)
                ? gateways_[static_cast<std::size_t>(i)]->metrics.at(name)
@@ -145,29 +145,30 @@
     return gateways_[static_cast<std::size_t>(i)]->incarnation;
   }
   [[nodiscard]] bool Logged(int i, const std::string& text) const;
-  // The CPU seconds of all running gateways together, and the highest memory peak of one.
+  // Return the CPU seconds of all running gateways together, and the highest memory peak of one.
   [[nodiscard]] double Cpu() const;
   [[nodiscard]] double PeakMb() const;
 
-  // ---- Traffic: this many requests per second, at random over the gateways that `sends_to` permits.
+  // ---- Traffic
+  // Sends this many requests per second, each to a random gateway of those that `sends_to` permits.
   void Traffic(double per_second);
   struct Tally {
     std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, dropped = 0, unanswered = 0, twice = 0;
   };
   [[nodiscard]] const Tally& tally() const { return tally_; }
-  // The number of requests in flight.
+  // Returns the number of requests in flight.
   [[nodiscard]] std::int64_t open() const { return open_; }
   void StopTraffic() { per_second_ = 0; }
   void StopPolls() { polling_ = false; }
   std::function<bool(int)> sends_to = [this](int i) { return alive(i) && !stopped(i); };
 
-  // Descriptions of the violations that the rig has found.
+  // Returns descriptions of the violations that the rig has found.
   [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
   // How often a poll showed a member as dead, left or unknown that was running and reachable.
   std::uint64_t false_deaths = 0;
   // The maximum number of view changes that one gateway has had within a minute.
   std::uint64_t flaps_per_minute = 0;
-  // The seed, the event log, and the log lines of all gateways in the order of their time.
+  // Returns the seed, the event log, and the log lines of all gateways in the order of their time.
   [[nodiscard]] std::string Report() const;
 
   [[nodiscard]] event_base* base() const { return base_.get(); }
@@ -186,12 +187,12 @@
     std::unique_ptr<partners::Discovery> discovery;
     std::unique_ptr<Relay> discovery_relay, counter_relay;
     std::vector<std::unique_ptr<Relay>> upstream_relays;
-    // As of the last poll.
+    // The membership view and the metrics, as of the last poll and the last ReadMetrics().
     std::string hash;
     std::uint64_t incarnation = 0, epoch = 0;
     std::map<std::string, MemberView> members;
     std::map<std::string, double> metrics;
-    // Since then it has run, has not been suspended, and could reach all others.
+    // The time since which the gateway has been running, not suspended, and able to reach all others.
     Clock::time_point disturbed_at{};
     int polls = 0;
     std::vector<Clock::time_point> view_changes;
@@ -205,7 +206,7 @@
   Gateway& at(int i) { return *gateways_[static_cast<std::size_t>(i)]; }
   [[nodiscard]] const Gateway& at(int i) const { return *gateways_[static_cast<std::size_t>(i)]; }
   std::string Path(int i, const char* ending) const;
-  [[nodiscard]] partners::Process::Options PlanOf(int i) const;
+  [[nodiscard]] partners::Process::Options ProcessOptions(int i) const;
   // Requests the membership view of each gateway, again and again.
   void Poll();
   void ApplyView(int i, int epoch, const std::string& body);
@@ -242,9 +243,10 @@
   bool shutting_down_ = false, polling_ = true;
 };
 
-// Whether the rig detects a failure of the gateway with one defense of the membership protocol disabled, by
-// its name in src/main.cpp; empty: none. In a rig of five gateways, a partition heals, a pair is cut, one
-// gateway is isolated for short and for long times, is killed and restarted, and is flooded with probes.
+// Returns whether the rig detects a failure of the gateway with one defense of the membership protocol
+// disabled, by its name in src/main.cpp; empty: none. In a rig of five gateways, a partition heals, a pair is
+// cut, one gateway is isolated for short and for long times, is killed and restarted, and is flooded with
+// probes.
 bool DetectsFailure(const std::string& disabled);
 inline const char* const kDefenses[] = {"refutation", "lives",    "local-health", "asking-again",
                                         "help",       "knocking", "budget"};
--- a/tests/fleet/rig_observer.cpp
+++ b/tests/fleet/rig_observer.cpp
@@ -24,7 +24,7 @@
   return text;
 }
 
-// Whether the response of /v1/fleet has exactly the fields that operators' scripts read.
+// Returns whether the response of /v1/fleet has exactly the fields that operators' scripts read.
 bool HasViewFields(const json& view) {
   const auto has_exactly = [](const json& object, const std::set<std::string>& names) {
     std::set<std::string> found;
@@ -123,14 +123,14 @@
       std::count_if(members.begin(), members.end(), [&](const auto& m) { return m.second.state == state; }));
 }
 
-bool Rig::Agree(const std::vector<int>& partition) const {
-  for (const int viewer : partition) {
+bool Rig::Agree(const std::vector<int>& gateways) const {
+  for (const int viewer : gateways) {
     const Gateway& g = at(viewer);
-    if (g.polls == 0 || g.hash != at(partition.front()).hash) return false;
+    if (g.polls == 0 || g.hash != at(gateways.front()).hash) return false;
     std::size_t live = 0;
     for (const auto& [name, seen] : g.members) live += seen.state == "alive" || seen.state == "suspect";
-    if (live != partition.size()) return false;
-    for (const int other : partition) {
+    if (live != gateways.size()) return false;
+    for (const int other : gateways) {
       const std::optional<MemberView> seen = ViewOf(viewer, other);
       if (!seen || seen->incarnation != at(other).incarnation ||
           (seen->state != "alive" && seen->state != "suspect"))
--- a/tests/flow/process_test.cpp
+++ b/tests/flow/process_test.cpp
@@ -32,24 +32,24 @@
 TEST_CASE("given a value in any fragments, it arrives byte for byte, and a large one is streamed") {
   Site site(1);
   site.Start(1);
-  Site::InFlightRequest held = site.StartRequest("first");
-  held.Serve();
+  Site::InFlightRequest request = site.StartRequest("first");
+  request.Serve();
   std::mt19937 random(21);
   for (const std::size_t size : {65'536u, 65'537u, 300'000u, 4'194'304u}) {
-    held.client.Send(Read("v" + std::to_string(size)));
+    request.client.Send(Read("v" + std::to_string(size)));
     site.Grant();
-    held.upstream.Command();  // The connection is reused after each value.
+    request.upstream.Command();  // The connection is reused after each value.
     const std::string value = RandomBulk(size, static_cast<unsigned>(size));
     const std::string response = UpstreamResponse(value);
     std::string got;
     for (std::size_t at = 0; at < response.size();) {
       const std::size_t max_size = random() % 3 == 0 ? 1 + random() % 5 : 1 + random() % 200'000;
-      at += held.upstream.SendSome(std::string_view(response).substr(at, max_size));
+      at += request.upstream.SendSome(std::string_view(response).substr(at, max_size));
       // The gateway streams the beginning of a large value to the client before the rest has arrived.
-      if (size > 65'536 && at > 70'000 && got.empty()) got = held.client.ReadSome(1 << 20);
-      while (held.client.HasMore()) got += held.client.ReadSome(1 << 20);
+      if (size > 65'536 && at > 70'000 && got.empty()) got = request.client.ReadSome(1 << 20);
+      while (request.client.HasMore()) got += request.client.ReadSome(1 << 20);
     }
-    got += held.client.Bytes(value.size() - got.size());
+    got += request.client.Bytes(value.size() - got.size());
     CHECK((got == value));
   }
 }
@@ -59,17 +59,17 @@
   site.Start(1);
   const std::string value = RandomBulk(4 * kMegabyte, 5), response = UpstreamResponse(value);
   constexpr std::size_t kClients = 24;  // If all responses were buffered, they would need twice the limit.
-  std::vector<Site::InFlightRequest> held;
-  for (std::size_t i = 0; i < kClients; ++i) held.push_back(site.StartRequest("m" + std::to_string(i)));
+  std::vector<Site::InFlightRequest> requests;
+  for (std::size_t i = 0; i < kClients; ++i) requests.push_back(site.StartRequest("m" + std::to_string(i)));
   // The upstreams write as fast as they can, and the clients read a little in turn.
   std::vector<std::size_t> sent(kClients, 0), got(kClients, 0);
   bool same = true;
   while (std::any_of(got.begin(), got.end(), [&](std::size_t size) { return size < value.size(); }) && same) {
     for (std::size_t i = 0; i < kClients; ++i) {
       if (sent[i] < response.size())
-        sent[i] += held[i].upstream.SendSome(std::string_view(response).substr(sent[i]));
+        sent[i] += requests[i].upstream.SendSome(std::string_view(response).substr(sent[i]));
       if (got[i] >= value.size()) continue;
-      const std::string part = held[i].client.ReadSome(std::size_t{32} * 1024);
+      const std::string part = requests[i].client.ReadSome(std::size_t{32} * 1024);
       same = same && !part.empty() && value.compare(got[i], part.size(), part) == 0;
       got[i] += part.size();
     }
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -33,7 +33,7 @@
   void CheckNoRequestForwarded() {
     const auto disconnected = std::chrono::steady_clock::now();
     slow.AwaitNoConnects();
-    // The gateway normally takes 0.1 s.
+    // On an idle machine the gateway takes 0.1 s.
     CHECK(std::chrono::steady_clock::now() - disconnected < std::chrono::seconds(1));
     slow.Open();
     Peer other = site.Client();
--- a/tests/net/outside_texts_test.cpp
+++ b/tests/net/outside_texts_test.cpp
@@ -6,7 +6,8 @@
 
 using namespace site;
 
-TEST_CASE("given a connected client, when it sends an empty or odd command, then the error keeps its text") {
+TEST_CASE(
+    "given a connected client, when it sends an empty or invalid command, then the error keeps its text") {
   Site site(1);
   site.Start(1);
   Peer client = site.Client();
@@ -46,11 +47,13 @@
   CHECK(client.Line() == "-ERR the change under this key was made, its answer is held no longer\r\n");
 }
 
-TEST_CASE("given the membership view, when metrics are read, then each cause of a dropped datagram stays") {
+TEST_CASE(
+    "given the membership view, when metrics are read, then each cause of a dropped datagram keeps its "
+    "label") {
   Port address;
-  const std::string operators = "fleet {\n enabled = true\n name = \"n0\"\n listen = \"" + address.address() +
-                                "\"\n seeds = {\"127.0.0.1:9\"}\n}\n";
-  Site site(1, {{"ops", true}}, false, operators.c_str());
+  const std::string operator_file = "fleet {\n enabled = true\n name = \"n0\"\n listen = \"" +
+                                    address.address() + "\"\n seeds = {\"127.0.0.1:9\"}\n}\n";
+  Site site(1, {{"ops", true}}, false, operator_file.c_str());
   site.Start(1);
   for (const char* cause : {"unreadable", "foreign", "future", "former_life", "unasked", "no_room"}) {
     INFO(cause);
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -11,8 +11,10 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kListeningGrace{500};  // after SIGTERM
-constexpr milliseconds kKillDelay{3'700};     // after SIGTERM, if the longest deadline is at least 3 s
+// The gateway still accepts connections for this long after SIGTERM.
+constexpr milliseconds kListeningGrace{500};
+// The platform sends SIGKILL this long after SIGTERM, if the longest deadline is at least 3 s.
+constexpr milliseconds kKillDelay{3'700};
 
 TEST_CASE(
     "given unread requests on a new and an existing connection, when the process stops listening, then "
--- a/tests/partners/client.h
+++ b/tests/partners/client.h
@@ -31,7 +31,7 @@
     if (event_) bufferevent_enable(event_.get(), EV_READ | EV_WRITE);
   }
   [[nodiscard]] bool is_usable() const { return event_ != nullptr && !is_broken_; }
-  // Whether a request is in flight.
+  // Returns whether a request is in flight.
   [[nodiscard]] bool is_busy() const { return done_ != nullptr; }
   void Send(const std::string& message, Done done) {
     done_ = std::move(done);
--- a/tests/partners/platform.h
+++ b/tests/partners/platform.h
@@ -37,7 +37,7 @@
 }
 
 // Upstreams in several cells. A cell stores each idempotency key for `window` after its first request. A
-// duplicate within that time changes nothing and receives the same value, no earlier than the first request.
+// duplicate within that time changes nothing and receives the same value, once the first request is complete.
 class Upstreams {
  public:
   Upstreams(event_base* base, int cells, int per_cell, std::uint64_t seed, std::chrono::milliseconds window)
@@ -195,7 +195,7 @@
   std::vector<std::uint64_t> long_polls_;
 };
 
-// Adds up amounts under names that expire.
+// The shared counter: adds up amounts under names that expire.
 class Counter {
  public:
   explicit Counter(event_base* base) : server_(base, [this](Server::Connection& c) { Read(c); }) {}
@@ -230,9 +230,11 @@
 // identifies the sender by the datagram's source address.
 class Datagrams {
  public:
-  Datagrams(event_base* base, int gateways, std::uint64_t seed) : base_(base), random_(seed), n_(gateways) {
-    for (int i = 0; i < n_; ++i) ports_.push_back(FreePort(SOCK_DGRAM));
-    for (int i = 0; i < n_ * n_; ++i) routes_.push_back(std::make_unique<Route>(*this, i / n_, i % n_));
+  Datagrams(event_base* base, int gateways, std::uint64_t seed)
+      : base_(base), random_(seed), gateway_count_(gateways) {
+    for (int i = 0; i < gateway_count_; ++i) ports_.push_back(FreePort(SOCK_DGRAM));
+    for (int i = 0; i < gateway_count_ * gateway_count_; ++i)
+      routes_.push_back(std::make_unique<Route>(*this, i / gateway_count_, i % gateway_count_));
   }
   double loss = 0;  // probability; if not 0, one of 20 datagrams is duplicated
   milliseconds max_delay{20};
@@ -251,7 +253,7 @@
   // Returns the addresses of all gateways as configured at the gateway of this rank.
   [[nodiscard]] nlohmann::json peers(int rank) const {
     nlohmann::json out = nlohmann::json::array();
-    for (int to = 0; to < n_; ++to) out.push_back(LoopbackAddress(route(rank, to).port));
+    for (int to = 0; to < gateway_count_; ++to) out.push_back(LoopbackAddress(route(rank, to).port));
     return out;
   }
 
@@ -284,7 +286,7 @@
     net::EventHandle event;
   };
   [[nodiscard]] const Route& route(int from, int to) const {
-    return *routes_[static_cast<std::size_t>(from) * static_cast<std::size_t>(n_) +
+    return *routes_[static_cast<std::size_t>(from) * static_cast<std::size_t>(gateway_count_) +
                     static_cast<std::size_t>(to)];
   }
 
@@ -312,7 +314,7 @@
 
   event_base* base_;
   std::mt19937_64 random_;
-  int n_;                   // number of gateways
+  int gateway_count_;
   std::vector<int> ports_;  // on which the gateways listen, by rank
   std::vector<std::unique_ptr<Route>> routes_;
 };
--- a/tests/partners/site.h
+++ b/tests/partners/site.h
@@ -201,10 +201,10 @@
  public:
   // `changes` are merged into the configuration; if they hold `ops`, whatever its value, the admin server
   // listens on port ops(). `with_variables` passes discovery's address as an environment variable too.
-  // `operators` is the text of the operator file, or null for none. `inherited` is the listening socket for
-  // clients, which the process gets as descriptor 7, or null for none.
+  // `operator_file` is the text of the operator file, or null for none. `inherited` is the listening socket
+  // for clients, which the process gets as descriptor 7, or null for none.
   explicit Site(int upstreams, const json& changes = json::object(), bool with_variables = false,
-                const char* operators = nullptr, Port* inherited = nullptr)
+                const char* operator_file = nullptr, Port* inherited = nullptr)
       : upstreams_(static_cast<std::size_t>(upstreams)), inherited_(inherited) {
     port_ = inherited != nullptr ? inherited->number() : FreePortNumber();
     config_ = {{"name", "n0"},
@@ -228,8 +228,8 @@
     if (changes.contains("ops")) config_["ops"] = "127.0.0.1:" + std::to_string(ops_ = FreePortNumber());
     path_ = "process_test_" + std::to_string(getpid()) + "_" + std::to_string(port_) + ".json";
     std::ofstream(path_) << config_.dump();
-    operator_path_ = operators != nullptr ? path_ + ".conf" : "";
-    if (operators != nullptr) std::ofstream(operator_path_) << operators;
+    operator_path_ = operator_file != nullptr ? path_ + ".conf" : "";
+    if (operator_file != nullptr) std::ofstream(operator_path_) << operator_file;
     std::vector<std::string> variables;
     if (with_variables) variables.push_back("ROUTER_DISCOVERY=" + discovery_.address());
     pid_ = Spawn(variables);
@@ -266,8 +266,8 @@
   }
   Site(const Site&) = delete;
 
-  // Plays the startup until the gateway serves. The endpoint list holds the first `count` upstreams and
-  // `others`.
+  // Plays discovery and the counter until the gateway serves. The endpoint list holds the first `count`
+  // upstreams and `others`.
   void Start(int count, const json& others = json::array()) {
     watch_.emplace_back(discovery_.Accept());
     CHECK(watch().Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
@@ -296,8 +296,8 @@
     }
     return out;
   }
-  static json List(bool full, json entries) {
-    return {{"index", 41}, {"snapshot", full}, {"endpoints", std::move(entries)}};
+  static json List(bool is_snapshot, json entries) {
+    return {{"index", 41}, {"snapshot", is_snapshot}, {"endpoints", std::move(entries)}};
   }
   // Sends `list` as discovery's response to the open poll.
   void Publish(const json& list) { Publish(watch(), list); }
--- a/tests/partners/slow_port.h
+++ b/tests/partners/slow_port.h
@@ -16,12 +16,12 @@
   Port& port() { return port_; }
   // Waits until at least `count` connects are pending. Their first SYNs have been dropped or are about to be.
   void AwaitConnects(int count = 1) const {
-    Await([count](int dials) { return dials >= count; },
+    Await([count](int pending) { return pending >= count; },
           "fewer pending connects than " + std::to_string(count));
   }
   // Waits until no connect is pending.
   void AwaitNoConnects() const {
-    Await([](int dials) { return dials == 0; }, "a connect is still pending");
+    Await([](int pending) { return pending == 0; }, "a connect is still pending");
   }
   // From now on, pending and new connects succeed.
   void Open() {
@@ -33,16 +33,16 @@
   // Waits until `is_met` accepts the number of pending connects.
   template <typename Condition>
   void Await(Condition is_met, const std::string& failure) const {
-    // The port as a remote address, in the state SYN_SENT.
+    // Matches the lines of /proc/net/tcp with the port as remote address and the state SYN_SENT, 02.
     char address[32];
     std::snprintf(address, sizeof address, " 0100007F:%04X 02 ", static_cast<unsigned>(port_.number()));
     for (int waited = 0; waited < kTimeoutMs; waited += 5) {
       std::ostringstream table;
       table << std::ifstream("/proc/net/tcp").rdbuf();
       const std::string text = table.str();
-      int dials = 0;
-      for (std::size_t at = 0; (at = text.find(address, at)) != std::string::npos; ++at) ++dials;
-      if (is_met(dials)) return;
+      int pending = 0;
+      for (std::size_t at = 0; (at = text.find(address, at)) != std::string::npos; ++at) ++pending;
+      if (is_met(pending)) return;
       usleep(5'000);
     }
     FAIL(failure);
--- a/tests/policy/counter_client_test.cpp
+++ b/tests/policy/counter_client_test.cpp
@@ -93,7 +93,7 @@
   }
   const std::size_t calls = gateway.counter_calls.size();
   EXPECT_LT(calls, 20U);
-  for (RequestId id = 100; id < 200; ++id) {  // a second
+  for (RequestId id = 100; id < 200; ++id) {  // 100 requests in a second
     gateway.Advance(milliseconds(10));
     gateway.AddRequest(id, 0.01);
     while (gateway.HasOpenCall()) gateway.ReplyToCall(0, CounterResult::kUnreachable);
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The gateway must neither hedge nor migrate the request, nor end it because its upstream doesn't respond.
-TEST(Retry, GivenANonIdempotentRequestWhenItsUpstreamIsStuckThenTheAttemptContinues) {
+TEST(Retry, GivenANonIdempotentRequestWhenItsUpstreamHangsThenTheAttemptContinues) {
   for (const bool hedging : {true, false}) {
     Settings settings = SettingsWithoutQuota();
     settings.hedging_allowed = hedging;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -199,8 +199,8 @@
   Port full(0);
   Site site(1, {{"known",
                  Site::List(true, {{{"name", "s-9"}, {"address", full.address()}, {"status", "Ready"}}})}});
-  std::vector<Peer> crowd;
-  crowd.push_back(Connect(full.number()));
+  std::vector<Peer> backlog;
+  backlog.push_back(Connect(full.number()));
   Peer watch = site.discovery().Accept();
   watch.Until("\r\n\r\n");
   Peer calls = site.counter().Accept();
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -221,8 +221,8 @@
   CHECK(use.percent_of_rate == 37);
   CHECK(use.units == 4);
   CHECK_FALSE(use.unreadable);
-  const ReportedUsage odd = DecodeUsage("used=-1,cost=nan,,cost");
-  CHECK((odd.percent_of_rate < 0 && odd.units == 0 && odd.unreadable));
+  const ReportedUsage invalid = DecodeUsage("used=-1,cost=nan,,cost");
+  CHECK((invalid.percent_of_rate < 0 && invalid.units == 0 && invalid.unreadable));
   const ReportedUsage below = DecodeUsage("used=5,cost=-4");
   CHECK((below.percent_of_rate == 5 && below.units == 0 && below.unreadable));
   ReportedUsage failed;
@@ -243,10 +243,10 @@
 TEST_CASE("only a command's body may be large") {
   const std::string head = "*5\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n$1\r\nd\r\n";
   Command command;
-  const std::string whole = head + Bulk(kMaxValueBytes);
-  CHECK(ParseCommand(whole, command) == Progress::kComplete);
+  const std::string message = head + Bulk(kMaxValueBytes);
+  CHECK(ParseCommand(message, command) == Progress::kComplete);
   CHECK(command.parts[4].size() == kMaxValueBytes);
-  CHECK(command.size == whole.size());
+  CHECK(command.size == message.size());
   CHECK(ParseCommand(head + "$4194305\r\n", command) == Progress::kMalformed);
   CHECK(ParseCommand("*5\r\n$65537\r\n", command) == Progress::kMalformed);
 }
