--- a/include/postspread/control.h
+++ b/include/postspread/control.h
@@ -249,7 +249,7 @@
   std::string upstream;
   Duration timeout{0};
   // The first byte must not be sent later than this: upstreams might no longer recognize the idempotency key.
-  Duration first_byte_timeout{0};
+  Duration start_timeout{0};
 };
 
 // Ends a request with a final response after which the client may safely retry.
--- a/src/idempotency/replica.cpp
+++ b/src/idempotency/replica.cpp
@@ -226,7 +226,7 @@
 
 // ---- Datagrams ----
 
-Actions IdempotencyReplica::Received(int from, std::string_view datagram, TimePoint now) {
+Actions IdempotencyReplica::HandleDatagram(int from, std::string_view datagram, TimePoint now) {
   actions_.Clear();
   const std::optional<Datagram> decoded = DecodeDatagram(datagram);
   if (!decoded || decoded->header.rank != from ||
--- a/src/idempotency/replica.h
+++ b/src/idempotency/replica.h
@@ -81,7 +81,7 @@
   // Handles the disconnect of this waiter's client, which needs no response any more.
   Actions OnClientDisconnect(WaiterId waiter, TimePoint now);
   // Handles a datagram from the peer of this rank.
-  Actions Received(int from, std::string_view datagram, TimePoint now);
+  Actions HandleDatagram(int from, std::string_view datagram, TimePoint now);
   // Runs the timers that are due. The caller calls it at the time that NextTick returns; nullopt means that
   // no call is due.
   Actions Tick(TimePoint now);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -44,7 +44,7 @@
 
 // ---- Incoming datagrams ----
 
-bool Membership::Received(PeerId from, std::string_view bytes, TimePoint now) {
+bool Membership::HandleDatagram(PeerId from, std::string_view bytes, TimePoint now) {
   Message message;
   const ReadError error = Read(bytes, sender_.group(), message);
   if (error == ReadError::kOtherSubsystem) return false;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -66,7 +66,7 @@
 
   // Handles a datagram from this address. Returns false, and does nothing, if it belongs to another
   // subsystem.
-  bool Received(PeerId from, std::string_view bytes, TimePoint now);
+  bool HandleDatagram(PeerId from, std::string_view bytes, TimePoint now);
   // Runs the timers. The caller calls it at NextTick; earlier calls do nothing.
   void Tick(TimePoint now);
   [[nodiscard]] TimePoint NextTick() const { return next_tick_; }
--- a/src/net/downstream/scheduled_close.cpp
+++ b/src/net/downstream/scheduled_close.cpp
@@ -18,7 +18,7 @@
   if (!schedule_ || !HasBegun()) return false;
   const safety::ReadingFacts facts{.close_at = schedule_->at,
                                    .command_deadline = schedule_->command_deadline,
-                                   .bytes_to_take = *bytes_to_process_,
+                                   .bytes_to_process = *bytes_to_process_,
                                    .partial_command = reader.partial_since().has_value()};
   return safety::ReadingAt(facts, now) == safety::Reading::kStop;
 }
--- a/src/net/gateway/request_dispatcher.cpp
+++ b/src/net/gateway/request_dispatcher.cpp
@@ -106,7 +106,7 @@
   // The call gets a copy, since the attempt may end within the call, and the request may be released then.
   const resp::EncodedRequest encoded = request->encoded;
   pool_.StartAttempt({action.request, action.attempt}, action.upstream, encoded, action.timeout,
-                     action.first_byte_timeout);
+                     action.start_timeout);
 }
 
 void RequestDispatcher::Execute(const planner::RejectWithRetryAfter& action) {
--- a/src/net/upstream/upstream_attempt.cpp
+++ b/src/net/upstream/upstream_attempt.cpp
@@ -16,13 +16,13 @@
 
 UpstreamAttempt UpstreamAttempt::ForRequest(const AttemptKey& key, const resp::EncodedRequest& message,
                                             std::chrono::microseconds timeout,
-                                            std::chrono::microseconds first_byte_timeout) {
+                                            std::chrono::microseconds start_timeout) {
   const auto now = Clock::now();
   UpstreamAttempt attempt;
   attempt.key = key;
   attempt.message = message;
   attempt.started_at = now;
-  attempt.begin_by = now + first_byte_timeout;
+  attempt.begin_by = now + start_timeout;
   attempt.deadline = now + timeout;
   return attempt;
 }
--- a/src/net/upstream/upstream_attempt.h
+++ b/src/net/upstream/upstream_attempt.h
@@ -17,10 +17,10 @@
 struct UpstreamAttempt {
   enum class Kind { kRequest, kHealthCheck };
 
-  // The attempt starts now and ends within `timeout`. Its first byte must arrive within `first_byte_timeout`.
+  // The attempt starts now and ends within `timeout`. Its first byte must arrive within `start_timeout`.
   static UpstreamAttempt ForRequest(const AttemptKey& key, const resp::EncodedRequest& message,
                                     std::chrono::microseconds timeout,
-                                    std::chrono::microseconds first_byte_timeout);
+                                    std::chrono::microseconds start_timeout);
   static UpstreamAttempt ForHealthCheck(std::chrono::microseconds timeout);
 
   [[nodiscard]] bool is_health_check() const { return kind == Kind::kHealthCheck; }
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -90,8 +90,8 @@
 
 void UpstreamPool::StartAttempt(const AttemptKey& key, const std::string& upstream,
                                 const resp::EncodedRequest& message, microseconds timeout,
-                                microseconds first_byte_timeout) {
-  Start(upstream, UpstreamAttempt::ForRequest(key, message, timeout, first_byte_timeout));
+                                microseconds start_timeout) {
+  Start(upstream, UpstreamAttempt::ForRequest(key, message, timeout, start_timeout));
 }
 
 void UpstreamPool::StartHealthCheck(const std::string& upstream) {
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -40,12 +40,12 @@
   // Writes `message` to a connection to the upstream. The attempt ends within `timeout`, or with the last
   // byte of a large value that has begun to arrive in that time. If the connection has to be opened first,
   // the rules are checked again before the first byte is sent: if no client waits for the request, the
-  // upstream is not ready any more, or the first byte would arrive later than `first_byte_timeout` from now,
+  // upstream is not ready any more, or the first byte would arrive later than `start_timeout` from now,
   // the attempt ends as kConnectFailed. The delay of the first byte is estimated as the time that the
   // connection took to be established (at least a round trip), and at most the dial timeout. The message
   // tells the upstream the rest of `timeout` at the time of writing.
   void StartAttempt(const AttemptKey& key, const std::string& upstream, const resp::EncodedRequest& message,
-                    std::chrono::microseconds timeout, std::chrono::microseconds first_byte_timeout);
+                    std::chrono::microseconds timeout, std::chrono::microseconds start_timeout);
   // Continues the attempt's streamed value after its client has capacity again.
   void Resume(const AttemptKey& key);
   // Ends an attempt by closing its connection.
--- a/src/planner/idempotency_adapter.cpp
+++ b/src/planner/idempotency_adapter.cpp
@@ -86,7 +86,7 @@
 }
 
 void IdempotencyAdapter::HandleDatagram(int rank, std::string_view bytes, TimePoint now) {
-  Apply(replica_.Received(rank, bytes, now), now);
+  Apply(replica_.HandleDatagram(rank, bytes, now), now);
 }
 
 void IdempotencyAdapter::Tick(TimePoint now) {
--- a/src/planner/membership_adapter.cpp
+++ b/src/planner/membership_adapter.cpp
@@ -21,7 +21,7 @@
       on_view_changed_(std::move(on_view_changed)) {}
 
 bool MembershipAdapter::HandleDatagram(membership::PeerId from, std::string_view bytes, TimePoint now) {
-  if (!membership_.Received(from, bytes, now)) return false;
+  if (!membership_.HandleDatagram(from, bytes, now)) return false;
   EmitActions();
   return true;
 }
--- a/src/planner/types.h
+++ b/src/planner/types.h
@@ -27,7 +27,7 @@
   std::string upstream;
   std::chrono::microseconds timeout{0};
   // The first byte of the request must reach the upstream within this time.
-  std::chrono::microseconds first_byte_timeout{0};
+  std::chrono::microseconds start_timeout{0};
 };
 
 // Final response: the request was not executed, so the client may retry it safely.
--- a/src/planner/usage_adapter.h
+++ b/src/planner/usage_adapter.h
@@ -24,7 +24,7 @@
   void Observe(std::string_view customer, double demand, TimePoint now);
   [[nodiscard]] double Demand(std::string_view customer, TimePoint now) const;
   // Returns false, and ignores the datagram, if it belongs to another subsystem.
-  bool HandleDatagram(std::string_view bytes, TimePoint now) { return table_.Received(bytes, now); }
+  bool HandleDatagram(std::string_view bytes, TimePoint now) { return table_.HandleDatagram(bytes, now); }
 
   // Broadcasts the usage that is due.
   void Tick(TimePoint now);
--- a/src/safety/attempt_rules.cpp
+++ b/src/safety/attempt_rules.cpp
@@ -7,7 +7,7 @@
 std::optional<Rule> MayBegin(const AttemptFacts& facts, Clock::time_point now) {
   if (const std::optional<Rule> violated = MayProbe(facts)) return violated;
   if (now >= facts.deadline) return Rule::kDeadline;
-  if (now + facts.max_transit_time >= facts.begin_by) return Rule::kRepeatWindow;
+  if (now + facts.max_transit_time >= facts.begin_by) return Rule::kRetryWindow;
   if (!facts.client_waits) return Rule::kClientWaits;
   return std::nullopt;
 }
--- a/src/safety/connection_rules.h
+++ b/src/safety/connection_rules.h
@@ -73,12 +73,12 @@
 struct ReadingFacts {
   Clock::time_point close_at;
   Clock::time_point command_deadline;  // a partial command must be complete by this time
-  std::size_t bytes_to_take = 0;       // bytes that had arrived by close_at and are not handled yet
+  std::size_t bytes_to_process = 0;    // bytes that had arrived by close_at and are not handled yet
   bool partial_command = false;        // a command that began within these bytes is incomplete
 };
 constexpr Reading ReadingAt(const ReadingFacts& facts, Clock::time_point now) {
   if (now < facts.close_at) return Reading::kAcceptAll;
-  if (facts.bytes_to_take == 0 && !facts.partial_command) return Reading::kStop;
+  if (facts.bytes_to_process == 0 && !facts.partial_command) return Reading::kStop;
   if (facts.partial_command && now >= facts.command_deadline) return Reading::kStop;
   return Reading::kFinishArrived;
 }
--- a/src/usage/usage_table.cpp
+++ b/src/usage/usage_table.cpp
@@ -95,7 +95,7 @@
 
 void UsageTable::SkipTurns(TimePoint now) { next_turn_ += interval_ * ((now - next_turn_) / interval_ + 1); }
 
-bool UsageTable::Received(std::string_view bytes, TimePoint now) {
+bool UsageTable::HandleDatagram(std::string_view bytes, TimePoint now) {
   if (bytes.substr(0, kMagic.size()) != kMagic) return false;
   bytes.remove_prefix(kMagic.size());
   // The datagram is ignored if it is truncated or broadcasts are off.
--- a/src/usage/usage_table.h
+++ b/src/usage/usage_table.h
@@ -47,7 +47,7 @@
   // Records a customer's demand, as a multiple of its rate, from a total of the counter.
   void Observe(CustomerDigest customer, double demand, TimePoint now);
   // Handles a received datagram. Returns false if it belongs to another subsystem and was ignored.
-  bool Received(std::string_view bytes, TimePoint now);
+  bool HandleDatagram(std::string_view bytes, TimePoint now);
 
   // Returns the latest demand of a customer; kUnknownDemand if there is none or it has expired.
   [[nodiscard]] double Demand(CustomerDigest customer, TimePoint now) const;
--- a/tests/idempotency/cluster.cpp
+++ b/tests/idempotency/cluster.cpp
@@ -132,7 +132,7 @@
     const double extra = RandomFraction() * static_cast<double>(faults_.max_delay.count());
     const Duration delay = faults_.min_delay + Duration(static_cast<std::int64_t>(extra));
     ScheduleAt(now_ + delay, [this, from, to, bytes] {
-      if (alive(to)) Execute(to, replica(to).Received(from, bytes, now_));
+      if (alive(to)) Execute(to, replica(to).HandleDatagram(from, bytes, now_));
     });
   }
 }
--- a/tests/idempotency/process_test.cpp
+++ b/tests/idempotency/process_test.cpp
@@ -180,21 +180,21 @@
   second.Send(WriteCommand("two", "k1"));
   second.Send(Command({"PING", "x"}));
   site.WaitUntilReady();
-  site.WriteOperators("idempotency { enabled = true\n max_waiters = 2 }\n");
+  site.WriteOperatorFile("idempotency { enabled = true\n max_waiters = 2 }\n");
   site.Reload(json::object());
-  site.Logged("configuration reloaded");
+  site.WaitForLog("configuration reloaded");
   Peer third = site.Client();
   third.Send(WriteCommand("three", "k1"));
   CHECK(third.Line().find("-BUSY") == 0);
-  site.WriteOperators("idempotency { keep = soon }\n");
+  site.WriteOperatorFile("idempotency { keep = soon }\n");
   site.Reload(json::object());
-  site.Logged("configuration rejected, the old one stays: ");
-  site.Logged(":1: idempotency.keep is \"soon\"");
-  site.WriteOperators("idempotency { enabled = true\n keep = 10s }\n");
+  site.WaitForLog("configuration rejected, the old one stays: ");
+  site.WaitForLog(":1: idempotency.keep is \"soon\"");
+  site.WriteOperatorFile("idempotency { enabled = true\n keep = 10s }\n");
   site.Reload(json::object());
-  site.Logged("idempotency.keep is shorter than the KeyTtl of class \"move\", 30000ms");
+  site.WaitForLog("idempotency.keep is shorter than the KeyTtl of class \"move\", 30000ms");
   site.Terminate();
-  site.Logged("draining");
+  site.WaitForLog("draining");
   upstream.Send(kUpstreamResponse);
   CHECK(first.Until("made\r\n") == "$4\r\nmade\r\n");
   CHECK(second.Until("made\r\n") == "$4\r\nmade\r\n");
@@ -205,8 +205,8 @@
     "an invalid operator file makes the program exit with status 2 after an error that names line and key") {
   Site site(1, KeyedWriteSettings(), false, "idempotency {\n keep = 5 }\n");
   CHECK(site.Wait() == 2);
-  site.Logged("configuration is invalid: ");
-  site.Logged(":2: idempotency.keep is \"5\": a whole number with its unit is wanted");
+  site.WaitForLog("configuration is invalid: ");
+  site.WaitForLog(":2: idempotency.keep is \"5\": a whole number with its unit is wanted");
 }
 
 }  // namespace
--- a/tests/membership/gossip_queue_test.cpp
+++ b/tests/membership/gossip_queue_test.cpp
@@ -18,7 +18,7 @@
   const Message head{.body = Gossip{}, .sender = {"gk-1", 0, alive, EntryKind::kGossip}};
   Writer writer(DigestGroup("fleet"), head, 256);
   writer.Add(name, 7, alive, EntryKind::kGossip);
-  membership.Received(1, std::move(writer).Seal(), now);
+  membership.HandleDatagram(1, std::move(writer).Seal(), now);
 }
 
 // Returns whether any datagram that is taken now gossips this member's update.
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -118,7 +118,7 @@
   // Delivers a datagram to a member as though it came from this address.
   void Inject(int to, PeerId from, const std::string& bytes) {
     if (!alive(to)) return;
-    member(to).Received(from, bytes, LocalTime(to));
+    member(to).HandleDatagram(from, bytes, LocalTime(to));
     ProcessOutput(to);
   }
 
@@ -240,7 +240,7 @@
       if (receiver.inbox.size() < kMaxInbox) receiver.inbox.push_back({from, bytes});
       return;
     }
-    receiver.member->Received(static_cast<PeerId>(from), bytes, LocalTime(to));
+    receiver.member->HandleDatagram(static_cast<PeerId>(from), bytes, LocalTime(to));
     ProcessOutput(to);
   }
   void ScheduleTick(int i) {
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -39,7 +39,7 @@
     model.Inject(0, 1, noise);
   }
   // This datagram belongs to another subsystem.
-  CHECK_FALSE(model.member(0).Received(1, "PSK\1and so on", model.now()));
+  CHECK_FALSE(model.member(0).HandleDatagram(1, "PSK\1and so on", model.now()));
   model.Inject(0, 1, "PSV\2 of a later version, whatever that holds");
   Writer foreign(DigestGroup("another"), head, kDatagram);
   model.Inject(0, 1, std::move(foreign).Seal());
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -24,7 +24,7 @@
   Peer existing = site.Client();
   CHECK(Site::Ping(existing) == "+PONG\r\n");
   site.Terminate();
-  site.Logged("draining");
+  site.WaitForLog("draining");
   site.Pause();
   Peer fresh = site.Client();  // established by the kernel, not yet accepted by the process
   fresh.Send(Read("fresh"));
@@ -62,7 +62,7 @@
   upstream.Command();  // the upstream does not respond
   const auto terminated = steady_clock::now();
   site.Terminate();
-  site.Logged("draining");
+  site.WaitForLog("draining");
   late.Send(Read("two"));
   Peer second = site.upstream(0).Accept();
   const auto command = second.Command();
@@ -85,10 +85,10 @@
   Site site(1);
   Peer watch = site.discovery().Accept();
   site.Terminate();
-  site.Logged("draining");
+  site.WaitForLog("draining");
   site.Terminate();
   site.Reload(json::object());
-  site.Logged("configuration reloaded");
+  site.WaitForLog("configuration reloaded");
   CHECK(site.Wait() == 0);
 }
 
@@ -107,7 +107,7 @@
   Peer upstream = site.upstream(0).Accept();
   CHECK(upstream.Command().at(2) == "half");
   site.Reload(json::object());  // a SIGHUP during the shutdown changes nothing
-  site.Logged("configuration reloaded");
+  site.WaitForLog("configuration reloaded");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(client.Ended());
--- a/tests/ops/process_test.cpp
+++ b/tests/ops/process_test.cpp
@@ -50,7 +50,7 @@
   CHECK(site.Metric("svc_upstream_requests") == 2);
   CHECK(site.Metric("svc_pending") == 0);
   site.Reload({{"settings", nullptr}});
-  site.Logged("configuration rejected");
+  site.WaitForLog("configuration rejected");
   CHECK(site.Metric("svc_config_reloads") == 0);
   CHECK(site.Metric("svc_config_reload_errors") == 1);
 }
--- a/tests/partners/site.h
+++ b/tests/partners/site.h
@@ -384,7 +384,7 @@
   void Pause() { kill(pid_, SIGSTOP); }
   void Resume() { kill(pid_, SIGCONT); }
   // Replaces the operator file, which the next reload reads too.
-  void WriteOperators(const char* text) const { std::ofstream(path_ + ".conf") << text; }
+  void WriteOperatorFile(const char* text) const { std::ofstream(path_ + ".conf") << text; }
   // Replaces the configuration file and sends SIGHUP.
   void Reload(const json& changes) {
     json config = config_;
@@ -393,7 +393,7 @@
     kill(pid_, SIGHUP);
   }
   // Waits until the log contains `line`.
-  void Logged(const std::string& line) const {
+  void WaitForLog(const std::string& line) const {
     for (int waited = 0; waited < kTimeoutMs; waited += 10) {
       std::ostringstream text;
       text << std::ifstream(log()).rdbuf();
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -262,7 +262,7 @@
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   CHECK(site.counter_connection().Ended());
   Peer again = site.counter().Accept();
-  site.Logged("counter connection is up again");
+  site.WaitForLog("counter connection is up again");
   client.Send(Read("three"));
   CHECK(again.Command().at(0) == "CNT.ADD");
 }
@@ -432,7 +432,7 @@
   site.counter_connection().Command();
   Port discovery, counter;
   site.Reload({{"discovery", discovery.address()}, {"counter", counter.address()}});
-  site.Logged("configuration reloaded: discovery " + discovery.address());
+  site.WaitForLog("configuration reloaded: discovery " + discovery.address());
   Peer watch = discovery.Accept();
   CHECK(watch.Until("\r\n\r\n").find("GET /api/targets HTTP/1.1\r\n") == 0);
   CHECK(site.watch().Ended());
@@ -449,7 +449,7 @@
   upstream.Command();
 
   site.Reload({{"discovery", "nowhere"}, {"counter", site.counter().address()}});
-  site.Logged("the old one stays");
+  site.WaitForLog("the old one stays");
   upstream.Send(kValue);
   CHECK(client.Until("hi\r\n") == "$2\r\nhi\r\n");
   client.Send(Read("three"));
--- a/tests/safety/rules_test.cpp
+++ b/tests/safety/rules_test.cpp
@@ -36,7 +36,7 @@
   facts.connection_current = false;
   CHECK(MayBegin(facts, kNow) == Rule::kUpstreamReady);
   // The first byte would arrive exactly at the end of the window.
-  CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(90)) == Rule::kRepeatWindow);
+  CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(90)) == Rule::kRetryWindow);
   CHECK(MayBegin(AllowedAttempt(), kNow + milliseconds(200)) == Rule::kDeadline);
 }
 
@@ -76,7 +76,8 @@
   ReadingFacts facts{.close_at = kNow, .command_deadline = kNow + milliseconds(500)};
   CHECK(ReadingAt(facts, kNow - milliseconds(1)) == Reading::kAcceptAll);
   CHECK(ReadingAt(facts, kNow) == Reading::kStop);
-  facts.bytes_to_take = 100;  // there is no capacity to handle them yet, and no limit on how long that takes
+  facts.bytes_to_process =
+      100;  // there is no capacity to handle them yet, and no limit on how long that takes
   CHECK(ReadingAt(facts, kNow) == Reading::kFinishArrived);
   CHECK(ReadingAt(facts, kNow + milliseconds(5'000)) == Reading::kFinishArrived);
   facts.partial_command = true;
--- a/tests/usage/usage_table_test.cpp
+++ b/tests/usage/usage_table_test.cpp
@@ -36,7 +36,7 @@
         sent += bytes->size();
         longest = std::max(longest, bytes->size());
         for (auto& other : tables) {
-          if (other != table) CHECK(other->Received(*bytes, now));
+          if (other != table) CHECK(other->HandleDatagram(*bytes, now));
         }
       }
     }
@@ -111,17 +111,18 @@
 
 TEST_CASE("corrupt datagrams leave the table within its bound, and those of other subsystems are ignored") {
   UsageTable table(UsageOptions{100, 40, 1}, kStart);
-  CHECK_FALSE(table.Received("PSK\1whatever", kStart));
-  CHECK_FALSE(table.Received("", kStart));
+  CHECK_FALSE(table.HandleDatagram("PSK\1whatever", kStart));
+  CHECK_FALSE(table.HandleDatagram("", kStart));
   // The datagram is truncated within an entry, so all of it is ignored.
-  CHECK(table.Received(std::string("PSD\1") + "abcd", kStart));
+  CHECK(table.HandleDatagram(std::string("PSD\1") + "abcd", kStart));
   CHECK(table.size() == 0);
   std::mt19937 random(20261201);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = "PSD\1";
     bytes.resize(4 + random() % 300);
     for (std::size_t at = 4; at < bytes.size(); ++at) bytes[at] = static_cast<char>(random());
-    table.Received(std::string_view(bytes).substr(0, random() % bytes.size()), kStart + milliseconds(i));
+    table.HandleDatagram(std::string_view(bytes).substr(0, random() % bytes.size()),
+                         kStart + milliseconds(i));
   }
   CHECK(table.size() <= kMaxEntries);
 }
